--- a/bench/budget_bench.cpp
+++ b/bench/budget_bench.cpp
@@ -20,7 +20,8 @@
   plan.maxNodes = 2 * teams + 16;
   for (size_t i = 0; i < teams; ++i) {
     Entry entry{"t" + std::to_string(i), "", {}};
-    if (i % 2) entry.terms.guarantee.cores = 1.0 / double(teams);
+    if (i % 2)
+      entry.terms.guarantee.cores = 1.0 / double(teams);
     entry.terms.weight = 1 + double(i % 7);
     plan.entries.push_back(entry);
   }
@@ -51,8 +52,10 @@
   };
   std::vector<Queue> queues(teams);
   Pcg32 chance(3);
-  for (size_t i = 0; i < teams; ++i) queues[i].weight = 1 + double(i % 7);
-  for (size_t i = 0; i < held; ++i) queues[chance.next() % teams].fifo.push_back(0.1);
+  for (size_t i = 0; i < teams; ++i)
+    queues[i].weight = 1 + double(i % 7);
+  for (size_t i = 0; i < held; ++i)
+    queues[chance.next() % teams].fifo.push_back(0.1);
   size_t cursor = 0;
   for (auto _ : state) {
     size_t chosen = teams;
@@ -60,14 +63,18 @@
       double rounds = -1;
       for (size_t step = 0; step < teams && chosen == teams; ++step) {
         size_t i = (cursor + step) % teams;
-        if (queues[i].fifo.empty()) continue;
-        if (queues[i].deficit > 0) chosen = i;
+        if (queues[i].fifo.empty())
+          continue;
+        if (queues[i].deficit > 0)
+          chosen = i;
         double need = std::floor(-queues[i].deficit / (0.05 * queues[i].weight)) + 1;
         rounds = rounds < 0 ? need : std::min(rounds, need);
       }
-      if (chosen != teams) break;
+      if (chosen != teams)
+        break;
       for (auto& queue : queues)
-        if (!queue.fifo.empty()) queue.deficit += rounds * 0.05 * queue.weight;
+        if (!queue.fifo.empty())
+          queue.deficit += rounds * 0.05 * queue.weight;
     }
     cursor = chosen;
     queues[chosen].deficit -= queues[chosen].fifo.front(), queues[chosen].fifo.pop_front();
@@ -76,8 +83,10 @@
 }
 
 void sizes(benchmark::internal::Benchmark* bench) {
-  for (int64_t teams : {10, 100, 1'000, 10'000}) bench->Args({teams, 100'000});
-  for (int64_t held : {100, 1'000, 10'000}) bench->Args({10'000, held});
+  for (int64_t teams : {10, 100, 1'000, 10'000})
+    bench->Args({teams, 100'000});
+  for (int64_t held : {100, 1'000, 10'000})
+    bench->Args({10'000, held});
 }
 
 // The module itself, by its own turns or by the tree: an arrival and a settling, with all that stands held.
@@ -99,7 +108,8 @@
   Profile profile;
   profile.name = "report", profile.target = 1e6, profile.clientTimeout = 1e6;
   set.profiles = {profile};
-  for (size_t i = 0; i < teams; ++i) set.tenants.push_back({"t" + std::to_string(i), 1.0 / double(teams), 0});
+  for (size_t i = 0; i < teams; ++i)
+    set.tenants.push_back({"t" + std::to_string(i), 1.0 / double(teams), 0});
   Plan plan;
   plan.maxNodes = 2 * teams + 16;
   Office office(plan, 1);
@@ -113,7 +123,8 @@
         gateway->take({"report", set.tenants[chance.next() % teams].name, 1, {}, 0.1, 0, 1e6}));
   };
   gateway->at(now);
-  for (size_t i = 0; i < held; ++i) arrive();
+  for (size_t i = 0; i < held; ++i)
+    arrive();
   gateway->settle();
   for (auto _ : state) {
     now += 1e-10;  // no sweep: that one looks at all that is held, twenty times a second
--- a/bench/engines_bench.cpp
+++ b/bench/engines_bench.cpp
@@ -63,12 +63,15 @@
     whole.rows[i].address = {0x0a000001 + i, 4100};
   }
   std::optional<view::View> seen;
-  if (plan) seen.emplace(*plan, set);
+  if (plan)
+    seen.emplace(*plan, set);
   std::vector<NodeRow> rows;
   if (seen)
-    for (auto& listing : seen->apply(whole, 0)) rows.push_back(listing.row);
+    for (auto& listing : seen->apply(whole, 0))
+      rows.push_back(listing.row);
   else
-    for (auto& listing : whole.rows) rows.push_back(listing.row);
+    for (auto& listing : whole.rows)
+      rows.push_back(listing.row);
   Sink sink;
   auto gateway = openGateway(seen ? seen->local() : set, 7, sink);
   double now = 0;
@@ -86,7 +89,8 @@
     gateway->settle();
   };
   int times = rows.size() > 2000 ? 200 : 2000;
-  for (int i = 0; i < 200; ++i) command();
+  for (int i = 0; i < 200; ++i)
+    command();
   long after = residentKb();
   std::vector<double> sweeps, commands;
   for (int i = 0; i < times / 4; ++i) {
--- a/bench/members_bench.cpp
+++ b/bench/members_bench.cpp
@@ -30,7 +30,8 @@
       "KB/s, core | worst 5 s: KB/s | streams a member in all | called down wrongly |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (int size : {10, 100, 300, 1024}) {
-    if (size > largest) break;
+    if (size > largest)
+      break;
     Times start, dies, back, tenth, most, healed;
     double quietBytes = 0, quietCpu = 0, worst = 0, streams = 0;
     int downs = 0;
@@ -38,7 +39,8 @@
       Gossip fleet(Gossip::plan(size), uint64_t(seed));
       auto rate = [&](double span) { return double(fleet.bytes()) / size / span / 1000; };
       auto busiest = [&](double took) {
-        if (took < 0) return;
+        if (took < 0)
+          return;
         fleet.run(fleet.now() + std::max(5 - took, 0.0));
         worst = std::max(worst, rate(std::max(5.0, took)));
         streams += double(fleet.streams()) / size, downs += fleet.downs();
@@ -54,19 +56,25 @@
       fleet.run(fleet.now() + 5), fleet.reset();
       fleet.start(1), took = fleet.untilAgreed(30), back.add(took), busiest(took);
       fleet.run(fleet.now() + 5), fleet.reset();
-      for (int i = 2; i < 2 + size / 10; ++i) fleet.kill(i);
+      for (int i = 2; i < 2 + size / 10; ++i)
+        fleet.kill(i);
       took = fleet.untilAgreed(30), tenth.add(took), busiest(took);
-      for (int i = 2; i < 2 + size / 10; ++i) fleet.start(i);
+      for (int i = 2; i < 2 + size / 10; ++i)
+        fleet.start(i);
       fleet.untilAgreed(30), fleet.run(fleet.now() + 5), fleet.reset();
-      for (int i = 0; i < size * 7 / 10; ++i) fleet.kill(i);
+      for (int i = 0; i < size * 7 / 10; ++i)
+        fleet.kill(i);
       took = fleet.untilAgreed(30), most.add(took), busiest(took), fleet.reset();
-      for (int i = 0; i < size * 7 / 10; ++i) fleet.start(i);
+      for (int i = 0; i < size * 7 / 10; ++i)
+        fleet.start(i);
       fleet.untilAgreed(30), fleet.run(fleet.now() + 5);
       std::vector<int> third;
-      for (int i = 0; i < size / 3; ++i) third.push_back(i);
+      for (int i = 0; i < size / 3; ++i)
+        third.push_back(i);
       fleet.part(third), fleet.run(fleet.now() + 30), fleet.part(third, false), fleet.reset();
       took = fleet.untilAgreed(30), healed.add(took), busiest(took);
-      if (!fleet.broken().empty()) return std::printf("seed %d: %s\n", seed, fleet.broken().c_str()), 1;
+      if (!fleet.broken().empty())
+        return std::printf("seed %d: %s\n", seed, fleet.broken().c_str()), 1;
     }
     std::printf(
         "| %d | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.2f, %.5f | "
--- a/bench/view_bench.cpp
+++ b/bench/view_bench.cpp
@@ -53,7 +53,8 @@
 std::vector<uint32_t> rendezvous(const Ids& list, int ordinal, int dispatchers, int users) {
   std::vector<uint32_t> mine;
   for (uint32_t e = 0; e < list.size(); ++e)
-    if (placeOf(list[e], ordinal, dispatchers, users) < users) mine.push_back(e);
+    if (placeOf(list[e], ordinal, dispatchers, users) < users)
+      mine.push_back(e);
   return mine;
 }
 
@@ -62,7 +63,8 @@
   std::vector<uint32_t> all(engines);
   std::iota(all.begin(), all.end(), 0);
   std::mt19937_64 chance(seed * 0x9e3779b97f4a7c15 + 1);
-  for (size_t i = 0; i < first; ++i) std::swap(all[i], all[i + chance() % (engines - i)]);
+  for (size_t i = 0; i < first; ++i)
+    std::swap(all[i], all[i + chance() % (engines - i)]);
   return all;
 }
 std::vector<uint32_t> rounds(const Ids& list, int ordinal, int dispatchers, int users) {
@@ -82,7 +84,8 @@
 struct Ring {  // its points, and each engine's users
   explicit Ring(int dispatchers) {
     for (int d = 0; d < dispatchers; ++d)
-      for (uint32_t point = 0; point < 64; ++point) points.push_back({weightOf(~point, uint32_t(d)), d});
+      for (uint32_t point = 0; point < 64; ++point)
+        points.push_back({weightOf(~point, uint32_t(d)), d});
     std::ranges::sort(points);
   }
   template <class Visit>  // until it says that it is enough
@@ -90,10 +93,12 @@
     auto at = std::ranges::lower_bound(points, std::pair{weightOf(engine, 0xffffff), 0});
     seen.clear();
     while (int(seen.size()) < users) {
-      if (at == points.end()) at = points.begin();
+      if (at == points.end())
+        at = points.begin();
       if (std::ranges::find(seen, at->second) == seen.end()) {
         seen.push_back(at->second);
-        if (visit(at->second)) return;
+        if (visit(at->second))
+          return;
       }
       ++at;
     }
@@ -126,7 +131,8 @@
         for (int d = 0; d < dispatchers; ++d)
           order[size_t(d)] = {~weightOf(list[e], uint32_t(d)), uint16_t(d)};
         std::ranges::nth_element(order, order.begin() + users);
-        for (int i = 0; i < users; ++i) all[e].push_back(order[size_t(i)].second);
+        for (int i = 0; i < users; ++i)
+          all[e].push_back(order[size_t(i)].second);
       }
       if (older && e >= older->size())
         std::erase_if(all[e], [](auto d) { return d % 2; });  // they don't list it
@@ -169,11 +175,13 @@
       std::vector<size_t> by, of(static_cast<size_t>(dispatchers));
       for (auto& one : all) {
         by.push_back(one.size());
-        for (auto d : one) ++of[d];
+        for (auto d : one)
+          ++of[d];
       }
       std::ranges::sort(by), std::ranges::sort(of);
       size_t sum = std::accumulate(by.begin(), by.end(), size_t{0}), most = 0;
-      for (auto& one : usersOf(way, list, dispatchers, users, &older)) most = std::max(most, one.size());
+      for (auto& one : usersOf(way, list, dispatchers, users, &older))
+        most = std::max(most, one.size());
       bool dear = users == 24 || users == 96;  // the others say the same
       size_t engine = dear ? moved(all, usersOf(way, more, dispatchers, users)) : 0;
       size_t dispatcher = dear ? moved(all, usersOf(way, list, dispatchers + 1, users)) : 0;
@@ -200,14 +208,18 @@
   size_t engines = users.size(), count = size_t(dispatchers);
   std::vector<double>
       sizes;  // of 16 zones, the largest three times the smallest; dispatchers stand where engines do
-  for (int zone = 0; zone < 16; ++zone) sizes.push_back(1 + zone / 7.5);
+  for (int zone = 0; zone < 16; ++zone)
+    sizes.push_back(1 + zone / 7.5);
   std::discrete_distribution<int> zones(sizes.begin(), sizes.end()), kinds({4, 3, 1});
   std::vector<int> zoneOf(engines), home(count);
   std::vector<double> capacity(engines), traffic(count), wide(count), near(count), load(engines);
-  for (size_t e = 0; e < engines; ++e) zoneOf[e] = zones(chance), capacity[e] = 8 << kinds(chance);
-  for (size_t d = 0; d < count; ++d) home[d] = zones(chance), traffic[d] = chance() % 10 == 0 ? sum.heavy : 1;
   for (size_t e = 0; e < engines; ++e)
-    for (auto d : users[e]) wide[d] += capacity[e], near[d] += home[d] == zoneOf[e] ? capacity[e] : 0;
+    zoneOf[e] = zones(chance), capacity[e] = 8 << kinds(chance);
+  for (size_t d = 0; d < count; ++d)
+    home[d] = zones(chance), traffic[d] = chance() % 10 == 0 ? sum.heavy : 1;
+  for (size_t e = 0; e < engines; ++e)
+    for (auto d : users[e])
+      wide[d] += capacity[e], near[d] += home[d] == zoneOf[e] ? capacity[e] : 0;
   double work = 0, all = 0;
   for (size_t e = 0; e < engines; ++e) {
     for (auto d : users[e]) {
@@ -228,33 +240,41 @@
       {"the same, and 0.3 of the traffic is bound to the dispatcher's own zone", 10, 0.3}};
   for (auto& kind : kinds) {
     std::string& table = tables.emplace_back(std::string(kind.what) + ":\n\n| k |");
-    for (auto& way : ways) table.append(" ").append(way.name).append(" |");
+    for (auto& way : ways)
+      table.append(" ").append(way.name).append(" |");
     table += "\n| --- | --- | --- | --- | --- |\n";
   }
   auto add = [&](const Users& users) {
     for (size_t i = 0; i < kinds.size(); ++i) {
       Load load = kinds[i];
-      for (uint64_t seed = 1; seed <= kDraws; ++seed) addLoad(load, users, dispatchers, seed);
+      for (uint64_t seed = 1; seed <= kDraws; ++seed)
+        addLoad(load, users, dispatchers, seed);
       char text[60];
       std::snprintf(text, sizeof text, " %.2f / %.2f |", load.p99 / kDraws, load.most / kDraws);
       tables[i] += text;
     }
   };
   for (int users : {8, 16, 24, 32, 48, 96, 200}) {
-    for (auto& table : tables) table.append("| ").append(std::to_string(users)).append(" |");
-    for (auto& way : ways) add(usersOf(way, idsOf(engines), dispatchers, users));
-    for (auto& table : tables) table += "\n";
+    for (auto& table : tables)
+      table.append("| ").append(std::to_string(users)).append(" |");
+    for (auto& way : ways)
+      add(usersOf(way, idsOf(engines), dispatchers, users));
+    for (auto& table : tables)
+      table += "\n";
   }
   Users whole(engines);
-  for (auto& one : whole) one.resize(size_t(dispatchers)), std::iota(one.begin(), one.end(), uint16_t{0});
-  for (auto& table : tables) table += "| all: the whole list |";
+  for (auto& one : whole)
+    one.resize(size_t(dispatchers)), std::iota(one.begin(), one.end(), uint16_t{0});
+  for (auto& table : tables)
+    table += "| all: the whole list |";
   add(whole);
   std::printf(
       "\nUtilisation of engines over its mean, p99 / most; %d dispatchers, %u engines of three kinds in 16 "
       "unequal zones; "
       "mean of three draws of who and what is where.\n",
       dispatchers, engines);
-  for (auto& table : tables) std::printf("\n%s | | |\n", table.c_str());
+  for (auto& table : tables)
+    std::printf("\n%s | | |\n", table.c_str());
 }
 
 void costs(int dispatchers, uint32_t engines) {
@@ -280,7 +300,8 @@
   size_t before = bytes();
   View view(plan, set);
   Ids near;
-  for (auto& change : view.apply(list, now)) near.push_back(change.row.id);
+  for (auto& change : view.apply(list, now))
+    near.push_back(change.row.id);
   size_t held = bytes() - before;
   Figures figures = view.figures();
   auto us = [](double took) { return took * 1e6; };
@@ -307,18 +328,22 @@
   double rest =
       medianOf(1001, [&] { view.rests(near[id++ / 2 % near.size()], is = !is), view.tick(now += 0.1); });
   view.apply({1, true, {}}, now += 1), view.apply(list, now += 1);
-  while (view.wakes() < HUGE_VAL) view.tick(now = view.wakes());  // until it is as narrow as at first
+  while (view.wakes() < HUGE_VAL)
+    view.tick(now = view.wakes());  // until it is as narrow as at first
   ListEvent zone{1, false, {}};
   for (auto& row : list.rows)
-    if (row.row.zone == "z5") zone.rows.push_back(row);
+    if (row.row.zone == "z5")
+      zone.rows.push_back(row);
   auto timed = [&](auto&& work) {
     double began = seconds();
     size_t changes = work();
     return std::pair{seconds() - began, changes};
   };
-  for (auto& row : zone.rows) row.row.state = NodeState::gone;
+  for (auto& row : zone.rows)
+    row.row.state = NodeState::gone;
   auto gone = timed([&] { return view.apply(zone, now += 60).size(); });
-  for (auto& row : zone.rows) row.row.state = NodeState::inService, row.bornMs = int64_t(now * 1000) + 60000;
+  for (auto& row : zone.rows)
+    row.row.state = NodeState::inService, row.bornMs = int64_t(now * 1000) + 60000;
   auto back = timed([&] { return view.apply(zone, now += 60).size(); });
   auto warm = timed([&] { return view.tick(now += 31).size(); });
   std::printf(
@@ -341,7 +366,8 @@
   std::vector<Way> ways = {
       {"rendezvous", rendezvous}, {"rounds", rounds}, {"ring", ring}, {"random", randomly}};
   for (auto [dispatchers, engines] : {std::pair{240, 4400u}, {2400, 44000u}}) {
-    if (count > 1) break;
+    if (count > 1)
+      break;
     compare(ways, dispatchers, engines);
     loads(ways, dispatchers, engines);
   }
--- a/src/budget/office.cpp
+++ b/src/budget/office.cpp
@@ -22,7 +22,8 @@
     shared_->inForce.assign(shared_->rates.size(), -1),
         shared_->asked.assign(shared_->rates.size(), TimeRing(1));
     shared_->askedLong.assign(shared_->rates.size(), TimeRing(kLong));
-    for (size_t i = 0; i < shared_->rates.size(); ++i) shared_->byPath[shared_->rates[i].path].push_back(i);
+    for (size_t i = 0; i < shared_->rates.size(); ++i)
+      shared_->byPath[shared_->rates[i].path].push_back(i);
   }
   shared_->usable = std::move(usable);
   apply();
@@ -32,7 +33,8 @@
   shared_->changesAt = HUGE_VAL;
   for (size_t i = 0; i < shared_->usable.size(); ++i) {
     for (auto& [until, units] : shared_->usable[i].borrowed)
-      if (until > now_) shared_->changesAt = std::min(shared_->changesAt, until);
+      if (until > now_)
+        shared_->changesAt = std::min(shared_->changesAt, until);
     double cores = shared_->usable[i].at(now_);
     if (std::exchange(shared_->inForce[i], cores) != cores)
       tree_.rate(shared_->rates[i].path, shared_->rates[i].ceiling, cores, now_);
@@ -44,7 +46,8 @@
   for (size_t i = 0; shared_ && i < shared_->rates.size(); ++i) {
     const Node* node = tree_.find(shared_->rates[i].path);
     double usual = shared_->askedLong[i].sum(now_) / kLong, putBy = 0, held = 0;
-    if (node) putBy = (shared_->rates[i].ceiling ? node->cap : node->right).work(now_), held = node->heldWork;
+    if (node)
+      putBy = (shared_->rates[i].ceiling ? node->cap : node->right).work(now_), held = node->heldWork;
     wants.push_back(usual + std::max(held + shared_->asked[i].sum(now_) - putBy, 0.0));
   }
   return wants;
@@ -63,14 +66,16 @@
 void Office::at(double now) {
   now_ = std::max(now_, now);  // a clock that steps back is not followed
   waits_.at(now_);
-  if (shared_ && now_ >= shared_->changesAt) apply();
+  if (shared_ && now_ >= shared_->changesAt)
+    apply();
 }
 
 void Office::take(Command& command, const Arrival& arrival) {
   auto& entry = *(entries_[&command] = std::make_unique<Entry>());
   entry.command = &command;
   entry.item.actor.push_back(arrival.tenant.empty() ? "-" : arrival.tenant);
-  for (auto& user : arrival.users) entry.item.actor.push_back(user);
+  for (auto& user : arrival.users)
+    entry.item.actor.push_back(user);
   entry.item.actor.push_back(arrival.profile);
   items_[&entry.item] = &entry;
   tree_.take(entry.item, now_);
@@ -79,11 +84,13 @@
 void Office::hold(Command& command, double work, double memoryMb, bool again) {
   Entry& entry = entryOf(command);
   entry.item.work = work, entry.item.memoryMb = memoryMb;
-  if (!entry.told && !entry.begun) entry.told = waits_.arrives(entry.item, now_);
+  if (!entry.told && !entry.begun)
+    entry.told = waits_.arrives(entry.item, now_);
   tree_.hold(entry.item, again, now_);
   for (Node* node = shared_ && !again ? entry.item.leaf : nullptr; node; node = node->parent)
     if (auto rates = shared_->byPath.find(node->path); rates != shared_->byPath.end())
-      for (size_t i : rates->second) shared_->asked[i].add(now_, work), shared_->askedLong[i].add(now_, work);
+      for (size_t i : rates->second)
+        shared_->asked[i].add(now_, work), shared_->askedLong[i].add(now_, work);
 }
 
 void Office::unhold(Command& command) { tree_.unhold(entryOf(command).item, now_); }
@@ -99,7 +106,8 @@
   Entry& entry = entryOf(command);
   if (!std::exchange(entry.begun, true)) {
     auto held = waits_.started(entry.item, now_);
-    if (hear_ && held) hear_(command, *entry.told, *held);
+    if (hear_ && held)
+      hear_(command, *entry.told, *held);
   }
   tree_.started(entry.item, now_);
 }
@@ -108,7 +116,8 @@
 
 void Office::forget(Command& command) {
   auto found = entries_.find(&command);
-  if (found == entries_.end()) return;
+  if (found == entries_.end())
+    return;
   Entry& entry = *found->second;
   waits_.left(entry.item);
   tree_.forget(entry.item, now_);
--- a/src/budget/plan.cpp
+++ b/src/budget/plan.cpp
@@ -9,7 +9,8 @@
 
 const Entry* entryOf(const Plan& plan, const std::string& name) {
   for (auto& entry : plan.entries)
-    if (entry.name == name) return &entry;
+    if (entry.name == name)
+      return &entry;
   return nullptr;
 }
 
@@ -92,12 +93,15 @@
   for (auto& [parent, sum] : below) {
     for (auto& kind : kKinds) {
       auto given = parent ? parent->terms.guarantee.*kind.amount : std::nullopt;
-      if (!parent && std::string(kind.name) == "cores" && plan.cores > 0) given = plan.cores;
+      if (!parent && std::string(kind.name) == "cores" && plan.cores > 0)
+        given = plan.cores;
       auto all = sum.*kind.amount;
-      if (!given || !all || *all <= *given * (1 + 1e-9)) continue;
+      if (!given || !all || *all <= *given * (1 + 1e-9))
+        continue;
       std::string key = "cores";
       for (size_t i = 0; parent && i < plan.entries.size(); ++i)
-        if (&plan.entries[i] == parent) key = "nodes[" + std::to_string(i) + "].guarantee." + kind.name;
+        if (&plan.entries[i] == parent)
+          key = "nodes[" + std::to_string(i) + "].guarantee." + kind.name;
       faults.push_back({key, "is " + text(*given) + ", but " + text(*all) +
                                  " are guaranteed below it; guarantees must fit into what there is"});
     }
@@ -111,8 +115,10 @@
 std::vector<FleetRate> fleetRates(const Plan& plan) {
   std::vector<FleetRate> rates;
   for (auto& [name, parent, terms] : plan.entries) {
-    if (terms.guarantee.cores.value_or(0) > 0) rates.push_back({name, false, *terms.guarantee.cores});
-    if (terms.ceiling.cores.value_or(0) > 0) rates.push_back({name, true, *terms.ceiling.cores});
+    if (terms.guarantee.cores.value_or(0) > 0)
+      rates.push_back({name, false, *terms.guarantee.cores});
+    if (terms.ceiling.cores.value_or(0) > 0)
+      rates.push_back({name, true, *terms.ceiling.cores});
   }
   return rates;
 }
--- a/src/budget/tree.cpp
+++ b/src/budget/tree.cpp
@@ -19,8 +19,10 @@
 }  // namespace
 
 void Drain::busy(double now, bool holds) {
-  if (holds && since_ < 0) since_ = now;
-  if (!holds && since_ >= 0) spent_ += now - since_, since_ = -1;
+  if (holds && since_ < 0)
+    since_ = now;
+  if (!holds && since_ >= 0)
+    spent_ += now - since_, since_ = -1;
 }
 
 double Drain::rate(double now) const {
@@ -28,23 +30,29 @@
   double work = 0, oldest = 0;
   for (size_t i = 0; i < seen; ++i) {  // newest first
     const Leaving& one = last_[(count_ - 1 - i) % kKept];
-    if (used > 3 && one.at < now - kDrainSpan) break;
-    if (++used < seen) work += one.work;  // what left at the span's beginning left before it
+    if (used > 3 && one.at < now - kDrainSpan)
+      break;
+    if (++used < seen)
+      work += one.work;  // what left at the span's beginning left before it
     oldest = one.clock;
   }
   return used >= 4 ? work / std::max(clock(now) - oldest, kLeastSpan) : 0;
 }
 
 Tree::Tree(const Plan& plan, double part) : plan_(plan), part_(part), root_(std::make_unique<Node>()) {
-  for (auto& entry : plan_.entries) entries_[entry.name] = &entry;
-  for (auto& entry : plan_.entries) nodeAt(entry.name, nullptr);
+  for (auto& entry : plan_.entries)
+    entries_[entry.name] = &entry;
+  for (auto& entry : plan_.entries)
+    nodeAt(entry.name, nullptr);
 }
 
 std::string Tree::pathOf(const std::vector<std::string>& actor, size_t words) {
   std::string path;
   for (size_t i = 0; i < words; ++i) {
-    if (i > 0) path += '/';
-    if (i + 1 == actor.size()) path += ':';  // a profile never is taken for a user of its name
+    if (i > 0)
+      path += '/';
+    if (i + 1 == actor.size())
+      path += ':';  // a profile never is taken for a user of its name
     path += actor[i];
   }
   return path;
@@ -71,7 +79,8 @@
 
 // The node of a path. `above`: its parent, unless an entry says another.
 Node& Tree::nodeAt(const std::string& path, Node* above) {
-  if (auto found = nodes_.find(path); found != nodes_.end()) return *found->second;
+  if (auto found = nodes_.find(path); found != nodes_.end())
+    return *found->second;
   auto entry = entries_.find(path);
   if (entry != entries_.end()) {
     const Entry* over = parentOf(plan_, *entry->second);
@@ -91,7 +100,8 @@
 
 // Without room for more nodes, those that would get one share one under the nearest node with an entry.
 Node& Tree::common(Node* above) {
-  while (above != root_.get() && !above->listed) above = above->parent;
+  while (above != root_.get() && !above->listed)
+    above = above->parent;
   return nodeAt(above->path + "/*", above);
 }
 
@@ -101,13 +111,17 @@
   size_t missing = 0;
   for (size_t words = 1; words <= actor.size(); ++words) {
     paths.push_back(pathOf(actor, words));
-    if (auto found = nodes_.find(paths.back()); found != nodes_.end()) known = found->second.get();
-    else ++missing;
+    if (auto found = nodes_.find(paths.back()); found != nodes_.end())
+      known = found->second.get();
+    else
+      ++missing;
   }
-  if (missing == 0) return *known;
+  if (missing == 0)
+    return *known;
   ++known->taken, known->inIdle.unlink();  // it must not go to make room for its own
   bool room = true;
-  while (room && nodes_.size() + missing > plan_.maxNodes) room = makeRoom(now);
+  while (room && nodes_.size() + missing > plan_.maxNodes)
+    room = makeRoom(now);
   --known->taken;
   if (!room) {
     Node& shared = common(known);
@@ -115,14 +129,16 @@
     return shared;
   }
   Node* at = root_.get();
-  for (auto& path : paths) at = &nodeAt(path, at);
+  for (auto& path : paths)
+    at = &nodeAt(path, at);
   return *at;
 }
 
 // The longest idle node goes, unless it still owes what it took beyond its ceiling, and what it leaves empty above.
 bool Tree::makeRoom(double now) {
   for (auto& node : idle_) {
-    if (node.cap.rate > 0 && !node.cap.open(now)) continue;
+    if (node.cap.rate > 0 && !node.cap.open(now))
+      continue;
     for (Node* at = &node; at->parent && !at->listed && at->children == 0 && at->taken == 0;) {
       Node* parent = at->parent;
       at->inChange.unlink(), at->inIdle.unlink();
@@ -140,29 +156,36 @@
 }
 
 void Tree::idleIfUnused(Node& node, double now) {
-  if (&node == root_.get() || node.listed || node.children > 0 || node.taken > 0) return;
-  if (node.inIdle.is_linked()) return;
+  if (&node == root_.get() || node.listed || node.children > 0 || node.taken > 0)
+    return;
+  if (node.inIdle.is_linked())
+    return;
   node.idleSince = now;
   idle_.push_back(node);
 }
 
 void Tree::dropIdle(double now) {
   while (!idle_.empty() && idle_.front().idleSince < now - plan_.idle)
-    if (!makeRoom(now)) break;
+    if (!makeRoom(now))
+      break;
 }
 
 // --- what a node may do
 bool Tree::entitled(const Node& node, double now) const {
-  if (node.right.rate > 0) return node.right.open(now);
+  if (node.right.rate > 0)
+    return node.right.open(now);
   return (node.sendsRight > 0 && node.sends < node.sendsRight) ||
          (node.memoryRight > 0 && node.memoryMb < node.memoryRight);
 }
 
 // One that uses nothing may start one command, however small its ceiling: it pays for it afterwards.
 bool Tree::blocked(const Node& node, double now) const {
-  if (node.terms.ceiling.cores && !node.cap.open(now)) return true;
-  if (node.sends <= 0) return node.sendsCap <= 0 || node.memoryCap <= 0;
-  if (node.sends >= node.sendsCap) return true;
+  if (node.terms.ceiling.cores && !node.cap.open(now))
+    return true;
+  if (node.sends <= 0)
+    return node.sendsCap <= 0 || node.memoryCap <= 0;
+  if (node.sends >= node.sendsCap)
+    return true;
   double next = node.fifo.empty() ? 0 : node.fifo.front().memoryMb;
   return node.memoryMb + next >= node.memoryCap;
 }
@@ -173,31 +196,40 @@
     node->inRank.unlink(), node->inDue.unlink(), node->inTag.unlink(), node->inChange.unlink();
     node->changeAt = HUGE_VAL;
     node->ready = false;
-    if (node->held == 0) continue;
+    if (node->held == 0)
+      continue;
     bool asleep = !node->fifo.empty() && node->wakeAt > now, shut = blocked(*node, now);
     bool any = node->fifo.empty() ? !node->byRank.empty() : !asleep;
     node->ready = any && !shut;
     if (!shut && node->parent && (node->ready || asleep || !node->byTag.empty()))
       node->parent->byTag.insert(*node);
-    if (!node->fifo.empty() && asleep) node->changeAt = node->wakeAt;
-    if (shut && node->cap.rate > 0 && node->cap.emptyAt > now) node->changeAt = node->cap.emptyAt;
+    if (!node->fifo.empty() && asleep)
+      node->changeAt = node->wakeAt;
+    if (shut && node->cap.rate > 0 && node->cap.emptyAt > now)
+      node->changeAt = node->cap.emptyAt;
     bool own = entitled(*node, now);
     if (node->ready && !own && node->right.rate > 0)
       node->changeAt = std::min(node->changeAt, node->right.emptyAt);
-    if (node->changeAt < HUGE_VAL) changes_.insert(*node);
-    if (!node->ready) continue;
+    if (node->changeAt < HUGE_VAL)
+      changes_.insert(*node);
+    if (!node->ready)
+      continue;
     const Node* first = node->fifo.empty() ? &*node->byRank.begin() : nullptr;
     bool through = first && std::get<0>(first->rank) == 0;
-    if (own || through) node->rank = {0, 0, own ? node->right.emptyAt : std::get<2>(first->rank), node->id};
-    else node->rank = {1, -node->terms.priority, node->start, node->id};
+    if (own || through)
+      node->rank = {0, 0, own ? node->right.emptyAt : std::get<2>(first->rank), node->id};
+    else
+      node->rank = {1, -node->terms.priority, node->start, node->id};
     node->due = first ? node->byDue.begin()->due : node->fifo.front().heldAt + node->terms.ageAfter;
-    if (!node->parent) continue;
+    if (!node->parent)
+      continue;
     node->parent->byRank.insert(*node), node->parent->byDue.insert(*node);
   }
 }
 
 void Tree::advance(double now) {
-  while (!changes_.empty() && changes_.begin()->changeAt <= now) refresh(*changes_.begin(), now);
+  while (!changes_.empty() && changes_.begin()->changeAt <= now)
+    refresh(*changes_.begin(), now);
 }
 
 // --- commands
@@ -213,26 +245,32 @@
 void Tree::hold(Item& item, bool again, double now) {
   Node& leaf = *item.leaf;
   for (Node* node = &leaf; node->parent; node = node->parent) {
-    if (node->held > 0) break;
+    if (node->held > 0)
+      break;
     node->start = std::max(node->start, node->parent->reached);  // an empty queue keeps no credit
   }
   for (Node* node = &leaf; node; node = node->parent)
     ++node->held, node->heldWork += item.work, node->drain.busy(now, true);
   item.covered = false;
-  for (Node* node = &leaf; node && !item.covered; node = node->parent) item.covered = covers(*node, now);
-  if (again) leaf.fifo.push_front(item);
-  else leaf.fifo.push_back(item);
+  for (Node* node = &leaf; node && !item.covered; node = node->parent)
+    item.covered = covers(*node, now);
+  if (again)
+    leaf.fifo.push_front(item);
+  else
+    leaf.fifo.push_back(item);
   item.held = true;
   refresh(leaf, now);
 }
 
 void Tree::unhold(Item& item, double now) {
-  if (!std::exchange(item.held, false)) return;
+  if (!std::exchange(item.held, false))
+    return;
   item.inFifo.unlink();
   for (Node* node = item.leaf; node; node = node->parent) {
     --node->held, node->heldWork = node->held ? std::max(0.0, node->heldWork - item.work) : 0;
     node->drain.left(now, item.work);
-    if (node->held == 0) node->drain.busy(now, false);
+    if (node->held == 0)
+      node->drain.busy(now, false);
   }
   refresh(*item.leaf, now);
 }
@@ -240,16 +278,20 @@
 Item* Tree::next(double now) {
   advance(now);
   byAge_ = nullptr;
-  if (root_->byRank.empty()) return nullptr;
+  if (root_->byRank.empty())
+    return nullptr;
   Node* at = root_.get();
   if (lane_ >= 0 && root_->byDue.begin()->due <= now) {
-    while (at->fifo.empty()) at = &*at->byDue.begin();
+    while (at->fifo.empty())
+      at = &*at->byDue.begin();
     byAge_ = &at->fifo.front();
     return &at->fifo.front();
   }
   // Places that a guarantee draws for are not drawn for by who borrows: else chance, not right, shares them out.
-  if (std::get<0>(root_->byRank.begin()->rank) == 1 && now < yieldUntil_) return nullptr;
-  while (at->fifo.empty()) at = &*at->byRank.begin();
+  if (std::get<0>(root_->byRank.begin()->rank) == 1 && now < yieldUntil_)
+    return nullptr;
+  while (at->fifo.empty())
+    at = &*at->byRank.begin();
   return &at->fifo.front();
 }
 
@@ -260,8 +302,10 @@
   bool entitledNow = within(item, now);
   if (entitledNow) {
     wait *= kEntitledWait;
-    if (leaf.yieldFrom < 0) leaf.yieldFrom = now;
-    if (now < leaf.yieldFrom + plan_.yield) yieldUntil_ = std::max(yieldUntil_, now + wait);
+    if (leaf.yieldFrom < 0)
+      leaf.yieldFrom = now;
+    if (now < leaf.yieldFrom + plan_.yield)
+      yieldUntil_ = std::max(yieldUntil_, now + wait);
   } else {
     double ahead = 0;  // in commands, of the share by weight
     for (Node* node = &leaf; node->parent; node = node->parent)
@@ -282,13 +326,16 @@
 void Tree::started(Item& item, double now) {
   bool aged = std::exchange(byAge_, nullptr) == &item;
   laneMost_ = std::max(laneMost_ * 0.999, 2 * item.work);
-  if (aged) lane_ -= item.work;
-  else lane_ = std::min(lane_ + item.work * plan_.agedPart / (1 - plan_.agedPart), laneMost_);
+  if (aged)
+    lane_ -= item.work;
+  else
+    lane_ = std::min(lane_ + item.work * plan_.agedPart / (1 - plan_.agedPart), laneMost_);
   item.out = true, item.startedAt = now, item.rights = 0, item.priority = item.leaf->terms.priority;
   item.leaf->yieldFrom = -1;
   uint32_t level = 1;
   for (Node* node = item.leaf; node; node = node->parent, level <<= 1) {
-    if (entitled(*node, now)) item.rights |= level, node->right.pay(now, item.work);
+    if (entitled(*node, now))
+      item.rights |= level, node->right.pay(now, item.work);
     else if (item.rights == 0 && node->parent) {
       auto& tags = node->parent->byTag;
       double least = tags.empty() ? node->start : std::min(node->start, tags.begin()->start);
@@ -298,31 +345,38 @@
     node->cap.pay(now, item.work);
     node->memoryMb += item.memoryMb, node->sends += 1;
   }
-  if (item.rights == 0) borrowed_.insert(item);
-  else yieldUntil_ = -HUGE_VAL;
+  if (item.rights == 0)
+    borrowed_.insert(item);
+  else
+    yieldUntil_ = -HUGE_VAL;
   refresh(*item.leaf, now);
 }
 
 // What it cost beside what was reckoned is charged, or paid back, to whoever paid for it.
 void Tree::ended(Item& item, double billed, double now) {
-  if (!std::exchange(item.out, false)) return;
+  if (!std::exchange(item.out, false))
+    return;
   item.inBorrowed.unlink();
   double more = billed > 0 ? billed - item.work : 0;
   uint32_t level = 1;
   bool paid = false;
   for (Node* node = item.leaf; node; node = node->parent, level <<= 1) {
     node->memoryMb = std::max(0.0, node->memoryMb - item.memoryMb), node->sends -= 1;
-    if (item.rights & level) node->right.pay(now, more), paid = true;
-    else if (!paid && node->parent) node->start += more / node->terms.weight;
+    if (item.rights & level)
+      node->right.pay(now, more), paid = true;
+    else if (!paid && node->parent)
+      node->start += more / node->terms.weight;
     node->cap.pay(now, more);
   }
-  if (billed > 0) item.work = billed;
+  if (billed > 0)
+    item.work = billed;
   refresh(*item.leaf, now);
 }
 
 void Tree::forget(Item& item, double now) {
   auto place = places_.find(&item);
-  if (place == places_.end()) return;
+  if (place == places_.end())
+    return;
   unhold(item, now);
   ended(item, 0, now);
   size_t at = place->second;
@@ -334,20 +388,25 @@
 
 bool Tree::within(const Item& item, double now) const {
   for (const Node* node = item.leaf; node; node = node->parent)
-    if (entitled(*node, now)) return true;
+    if (entitled(*node, now))
+      return true;
   return false;
 }
 
 bool Tree::covers(const Node& node, double now) const {
-  if (node.right.rate > 0) return node.heldWork <= node.right.work(now) + kSoon * node.right.rate;
+  if (node.right.rate > 0)
+    return node.heldWork <= node.right.work(now) + kSoon * node.right.rate;
   return node.sendsRight > 0 && double(node.held) + node.sends <= node.sendsRight;
 }
 
 Victim Tree::victim(double now) {
-  if (plan_.preempt == Preempt::off || now >= claimUntil_ || now < lastVictim_ + kVictimEvery) return {};
-  if (borrowed_.empty()) return {};
+  if (plan_.preempt == Preempt::off || now >= claimUntil_ || now < lastVictim_ + kVictimEvery)
+    return {};
+  if (borrowed_.empty())
+    return {};
   Item& first = *borrowed_.begin();
-  if (!claimEntitled_ && first.priority >= claimPriority_) return {};
+  if (!claimEntitled_ && first.priority >= claimPriority_)
+    return {};
   first.inBorrowed.unlink();
   lastVictim_ = now;
   return {&first, plan_.preempt == Preempt::cancel};
@@ -355,15 +414,18 @@
 
 double Tree::wakes(double now) const {
   double at = changes_.empty() ? HUGE_VAL : changes_.begin()->changeAt;
-  if (!root_->byRank.empty()) at = std::min(at, std::max(yieldUntil_, now));
+  if (!root_->byRank.empty())
+    at = std::min(at, std::max(yieldUntil_, now));
   return at;
 }
 
 void Tree::rate(const std::string& path, bool ceiling, double cores, double now) {
   auto found = nodes_.find(path);
-  if (found == nodes_.end()) return;
+  if (found == nodes_.end())
+    return;
   Bucket& bucket = ceiling ? found->second->cap : found->second->right;
-  if (bucket.rate > 0 && cores > 0) bucket.emptyAt = now - bucket.work(now) / cores;
+  if (bucket.rate > 0 && cores > 0)
+    bucket.emptyAt = now - bucket.work(now) / cores;
   bucket.rate = cores;
   refresh(*found->second, now);
 }
@@ -373,7 +435,8 @@
 void Tree::change(const Plan& plan, double part, double now) {
   Tree made(plan, part);
   for (auto& [path, node] : nodes_) {
-    if (!made.nodes_.contains(path)) continue;
+    if (!made.nodes_.contains(path))
+      continue;
     Node& same = *made.nodes_[path];
     same.right.emptyAt = node->right.emptyAt, same.cap.emptyAt = node->cap.emptyAt;
   }
@@ -386,10 +449,13 @@
     item->held = item->out = false;
     made.take(*item, now);
     item->heldAt = since, item->number = number;
-    if (wasHeld) made.hold(*item, false, now);
-    if (!wasOut) continue;
+    if (wasHeld)
+      made.hold(*item, false, now);
+    if (!wasOut)
+      continue;
     item->out = true;
-    if (item->rights == 0) made.borrowed_.insert(*item);
+    if (item->rights == 0)
+      made.borrowed_.insert(*item);
     item->rights = 0;
     for (Node* node = item->leaf; node; node = node->parent)
       node->memoryMb += item->memoryMb, node->sends += 1;
@@ -398,7 +464,8 @@
   made.itemCount_ = itemCount_;
   plan_ = plan, part_ = part;
   entries_.clear();
-  for (auto& entry : plan_.entries) entries_[entry.name] = &entry;
+  for (auto& entry : plan_.entries)
+    entries_[entry.name] = &entry;
   changes_.clear(), idle_.clear();
   nodes_.swap(made.nodes_), root_.swap(made.root_);
   changes_.swap(made.changes_), idle_.swap(made.idle_), borrowed_.swap(made.borrowed_);
--- a/src/budget/tree.h
+++ b/src/budget/tree.h
@@ -34,7 +34,8 @@
   double work(double now) const { return (now - std::max(emptyAt, now - burst)) * rate; }  // put by, or owed
   bool open(double now) const { return rate > 0 && now >= emptyAt; }
   void pay(double now, double work) {
-    if (rate > 0) emptyAt = std::max(emptyAt, now - burst) + work / rate;
+    if (rate > 0)
+      emptyAt = std::max(emptyAt, now - burst) + work / rate;
   }
 };
 
@@ -180,7 +181,8 @@
   size_t size() const { return nodes_.size(); }
   template <typename Visit>
   void each(Visit visit) const {
-    for (auto& [path, node] : nodes_) visit(*node);
+    for (auto& [path, node] : nodes_)
+      visit(*node);
   }
 
  private:
--- a/src/budget/waits.cpp
+++ b/src/budget/waits.cpp
@@ -20,7 +20,8 @@
 double Waits::base(const Item& item, double now) {
   for (const Node* node = item.leaf; node; node = node->parent) {
     double rate = node->drain.rate(now);
-    if (rate > 0) return (node->heldWork + item.work / 2) / rate;
+    if (rate > 0)
+      return (node->heldWork + item.work / 2) / rate;
   }
   return 0;
 }
@@ -33,7 +34,8 @@
 double Waits::reckoned(const Item& item, double now) {
   bool empty = item.leaf && item.leaf->held == 0 && item.leaf->drain.rate(now) > 0;
   double byQueue = kLeast + (empty ? 0 : base(item, now));
-  if (!item.leaf || item.leaf->waitLog == 0) return byQueue;
+  if (!item.leaf || item.leaf->waitLog == 0)
+    return byQueue;
   // In the mean of logarithms: the queue tells what is new, waits of late what draws add to it.
   return std::pow(byQueue, kQueuePart) * std::pow(kLeast + std::exp(item.leaf->waitLog), 1 - kQueuePart);
 }
@@ -59,7 +61,8 @@
     Due one = due_.top();
     due_.pop();
     auto found = pending_.find(one.number);
-    if (found == pending_.end()) continue;
+    if (found == pending_.end())
+      continue;
     Pending& pending = found->second;
     double& log = pending.factors->log[one.which];
     double passes = pending.heldAt + pending.base * std::exp(log);
@@ -75,13 +78,15 @@
 std::optional<double> Waits::started(const Item& item, double now) {
   at(now);
   auto found = pending_.find(item.number);
-  if (found == pending_.end()) return std::nullopt;
+  if (found == pending_.end())
+    return std::nullopt;
   Pending& pending = found->second;
   double held = now - pending.heldAt;
   bool waited = held > kWaited;  // who starts at once says nothing of waits
   for (size_t i = 0; waited && i < kSure.size(); ++i) {
     double& log = pending.factors->log[i];
-    if (!pending.missed[i]) log = std::max(log - kStep * (1 - kSure[i]), -kLogMost);
+    if (!pending.missed[i])
+      log = std::max(log - kStep * (1 - kSure[i]), -kLogMost);
   }
   if (waited && item.leaf) {
     double& mean = item.leaf->waitLog;
@@ -93,9 +98,11 @@
 
 void Waits::left(const Item& item) {
   auto found = pending_.find(item.number);
-  if (found == pending_.end()) return;
+  if (found == pending_.end())
+    return;
   for (size_t i = 0; i < kSure.size(); ++i)
-    if (found->second.missed[i]) found->second.factors->log[i] -= kStep * kSure[i];
+    if (found->second.missed[i])
+      found->second.factors->log[i] -= kStep * kSure[i];
   pending_.erase(found);
 }
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -16,7 +16,8 @@
 
 Address needAddress(const Section& from, const char* key) {
   auto address = readAddress(from.need<std::string>(key));
-  if (!address) from.fault(key, "must be an IPv4 address and a port");
+  if (!address)
+    from.fault(key, "must be an IPv4 address and a port");
   return *address;
 }
 
@@ -30,7 +31,8 @@
                                         {"terminating", NodeState::draining},
                                         {"terminated", NodeState::gone}});
   // What is gone needs no address.
-  if (one.row.state != NodeState::gone || host.has("dial")) one.address = needAddress(host, "dial");
+  if (one.row.state != NodeState::gone || host.has("dial"))
+    one.address = needAddress(host, "dial");
   one.row.zone = host.get<std::string>("site", "");
   one.row.kind = host.get<std::string>("class", "");
   one.row.cell = host.get("block", 0);
@@ -49,15 +51,23 @@
   // For the parser: false drops what has just been read.
   bool keeps(int depth, Json::parse_event_t event, const Json& parsed) {
     using Event = Json::parse_event_t;
-    if (event == Event::key && depth < int(path_.size())) path_[size_t(depth)] = parsed.get<std::string>();
-    if (path_[1] != "known" || path_[2] != "results") return true;
-    if (event == Event::object_start && depth == 3) rows_.emplace_back(), path_[4] = path_[5] = "";
-    if (depth != 6 || path_[4] != "fleet" || path_[5] != "hosts") return true;
-    if (event == Event::value || event == Event::array_start) return !(sound_ = false);
-    if (event != Event::object_end) return true;
+    if (event == Event::key && depth < int(path_.size()))
+      path_[size_t(depth)] = parsed.get<std::string>();
+    if (path_[1] != "known" || path_[2] != "results")
+      return true;
+    if (event == Event::object_start && depth == 3)
+      rows_.emplace_back(), path_[4] = path_[5] = "";
+    if (depth != 6 || path_[4] != "fleet" || path_[5] != "hosts")
+      return true;
+    if (event == Event::value || event == Event::array_start)
+      return !(sound_ = false);
+    if (event != Event::object_end)
+      return true;
     try {
       rows_.at(rows_.size() - 1).push_back(readListing(Section(parsed)));
-    } catch (const std::exception&) { sound_ = false; }
+    } catch (const std::exception&) {
+      sound_ = false;
+    }
     return false;
   }
 
@@ -71,15 +81,18 @@
   std::vector<ListEvent> events;
   for (auto& result : known.rows("results")) {
     ListEvent& event = events.emplace_back();
-    if (taken) event.rows = taken->take(events.size() - 1);
+    if (taken)
+      event.rows = taken->take(events.size() - 1);
     event.number = result.need<uint64_t>("seq");
     const Section fleet = result.part("fleet");
     event.whole = fleet.get("whole", false);
-    for (auto& host : fleet.rows("hosts")) event.rows.push_back(readListing(host));
+    for (auto& host : fleet.rows("hosts"))
+      event.rows.push_back(readListing(host));
   }
   // The last number may be that of an event without news of engines.
   auto last = known.need<uint64_t>("seq");
-  if (events.empty() || events.back().number < last) events.push_back({last, false, {}});
+  if (events.empty() || events.back().number < last)
+    events.push_back({last, false, {}});
   return events;
 }
 
@@ -91,21 +104,26 @@
 }
 
 Config readConfig(const Json& json, KnownRows* taken) {
-  if (!json.is_object()) throw std::invalid_argument("the configuration must be an object");
+  if (!json.is_object())
+    throw std::invalid_argument("the configuration must be an object");
   const Section file(json);
   Config config;
   config.name = file.get<std::string>("name", "");
   config.listen = needAddress(file, "listen");
   config.changeLog = needAddress(file, "changelog");
-  if (!readHex(file.need<std::string>("seed"), config.seed)) file.fault("seed", "must be hex digits");
+  if (!readHex(file.need<std::string>("seed"), config.seed))
+    file.fault("seed", "must be hex digits");
   config.sockets = file.part("limits").need<size_t>("sockets");
   config.memoryMb = file.part("limits").get<size_t>("memory_mb", 192);
-  if (!file.has("known")) file.fault("known", "is missing");
+  if (!file.has("known"))
+    file.fault("known", "is missing");
   config.known = readKnown(file.part("known"), taken);
-  if (!file.has("settings")) file.fault("settings", "is missing");
+  if (!file.has("settings"))
+    file.fault("settings", "is missing");
   const Section settings = file.part("settings");
   config.settings = readSettings(settings);
-  if (config.settings.profiles.empty()) settings.fault("classes", "must name at least one class");
+  if (config.settings.profiles.empty())
+    settings.fault("classes", "must name at least one class");
   config.links = readLinkSettings(settings);
   config.peersAllowed = settings.part("limits").get("peers", false);
   config.log = readLevel(file);
@@ -118,23 +136,28 @@
 
 Config readConfig() {
   const char* path = std::getenv("PROXY_CONFIG");
-  if (!path) throw std::invalid_argument("PROXY_CONFIG: is not set");
+  if (!path)
+    throw std::invalid_argument("PROXY_CONFIG: is not set");
   std::ifstream file(path);
-  if (!file) throw std::invalid_argument(std::string("PROXY_CONFIG: can't read ") + path);
+  if (!file)
+    throw std::invalid_argument(std::string("PROXY_CONFIG: can't read ") + path);
   Json json;
   KnownRows rows;
   try {
     json = Json::parse(file, [&rows](int depth, Json::parse_event_t event, Json& parsed) {
       return rows.keeps(depth, event, parsed);
     });
-    if (!rows.sound()) file.clear(), file.seekg(0), json = Json::parse(file);
+    if (!rows.sound())
+      file.clear(), file.seekg(0), json = Json::parse(file);
   } catch (const Json::exception& fault) {
     throw std::invalid_argument(std::string("PROXY_CONFIG: ") + path + ": " + fault.what());
   }
   // The variables hold the same as the file, and win where they are set.
   if (json.is_object()) {
-    if (const char* name = std::getenv("PROXY_NAME")) json["name"] = name;
-    if (const char* listen = std::getenv("PROXY_LISTEN")) json["listen"] = listen;
+    if (const char* name = std::getenv("PROXY_NAME"))
+      json["name"] = name;
+    if (const char* listen = std::getenv("PROXY_LISTEN"))
+      json["listen"] = listen;
   }
   return readConfig(json, rows.sound() ? &rows : nullptr);
 }
--- a/src/config/gateway.cpp
+++ b/src/config/gateway.cpp
@@ -9,16 +9,20 @@
 
 budget::Amounts readAmounts(const Section& section) {
   budget::Amounts amounts;
-  if (section.has("cores")) amounts.cores = section.need<double>("cores");
-  if (section.has("memoryMb")) amounts.memoryMb = section.need<double>("memoryMb");
-  if (section.has("sends")) amounts.sends = section.need<double>("sends");
+  if (section.has("cores"))
+    amounts.cores = section.need<double>("cores");
+  if (section.has("memoryMb"))
+    amounts.memoryMb = section.need<double>("memoryMb");
+  if (section.has("sends"))
+    amounts.sends = section.need<double>("sends");
   return amounts;
 }
 
 budget::Terms readTerms(const Section& section, const budget::Terms& otherwise) {
   budget::Terms terms = otherwise;
   terms.guarantee = readAmounts(section.part("guarantee"));
-  if (section.has("ceiling")) terms.ceiling = readAmounts(section.part("ceiling"));
+  if (section.has("ceiling"))
+    terms.ceiling = readAmounts(section.part("ceiling"));
   terms.burst = section.get("burstS", otherwise.burst);
   terms.weight = section.get("weight", otherwise.weight);
   terms.priority = section.get("priority", otherwise.priority);
@@ -70,7 +74,8 @@
   terms.members = members;
   terms.kept = section.get("keptPart", terms.kept);
   terms.length = section.get("loanS", terms.length), terms.guard = section.get("guardS", terms.guard);
-  for (auto& rate : budget::fleetRates(budgets)) terms.amounts.push_back(rate.cores);
+  for (auto& rate : budget::fleetRates(budgets))
+    terms.amounts.push_back(rate.cores);
   return terms;
 }
 
@@ -89,13 +94,16 @@
   GatewayConfig config;
   // Each section by itself; what is of a wrong type the schema has told, and better.
   auto read = [&](const char* name, auto&& section) {
-    if (!document.is_object() || !document.contains(name)) return;
+    if (!document.is_object() || !document.contains(name))
+      return;
     try {
       section(Section(document[name], name));
     } catch (const std::invalid_argument& fault) {
-      if (faults.empty()) faults.push_back(path + ": " + fault.what());
+      if (faults.empty())
+        faults.push_back(path + ": " + fault.what());
     } catch (const Json::exception& fault) {
-      if (faults.empty()) faults.push_back(path + ": " + name + ": " + fault.what());
+      if (faults.empty())
+        faults.push_back(path + ": " + name + ": " + fault.what());
     }
   };
   read("budgets", [&](const Section& section) {
@@ -133,7 +141,8 @@
     for (auto& flaw : view::flawsOf(*config.view))
       faults.push_back(path + ": view." + flaw.key + ": " + flaw.why);
   });
-  if (!faults.empty()) throw Faults(std::move(faults));
+  if (!faults.empty())
+    throw Faults(std::move(faults));
   return config;
 }
 
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -14,7 +14,8 @@
 
 std::string joined(const std::vector<std::string>& lines) {
   std::string text;
-  for (auto& line : lines) text += (text.empty() ? "" : "\n") + line;
+  for (auto& line : lines)
+    text += (text.empty() ? "" : "\n") + line;
   return text;
 }
 
@@ -48,7 +49,8 @@
     for (size_t i = 0; i < value.size(); ++i)
       unknownKeys(value[i], schema["items"], root, key + "[" + std::to_string(i) + "]", path, faults);
   }
-  if (!value.is_object() || !schema.contains("properties")) return;
+  if (!value.is_object() || !schema.contains("properties"))
+    return;
   const Json& known = schema["properties"];
   for (auto& [name, part] : value.items()) {
     std::string full = key.empty() ? name : key + "." + name;
@@ -58,7 +60,8 @@
     }
     std::string nearest;
     for (auto& [other, rest] : known.items())
-      if (nearest.empty() || apart(name, other) < apart(name, nearest)) nearest = other;
+      if (nearest.empty() || apart(name, other) < apart(name, nearest))
+        nearest = other;
     faults.push_back(path + ": " + full + ": is no key here; the nearest known one is '" + nearest + "'");
   }
 }
@@ -67,7 +70,8 @@
   Json told = Json::object();
   for (auto name : {"type", "enum", "minimum", "maximum", "exclusiveMinimum", "exclusiveMaximum", "minLength",
                     "maxLength", "pattern", "required", "maxItems"})
-    if (schema.contains(name)) told[name] = schema[name];
+    if (schema.contains(name))
+      told[name] = schema[name];
   return told.dump();
 }
 
@@ -77,10 +81,13 @@
 
 Json readJson(const std::string& path) {
   std::ifstream file(path);
-  if (!file) throw Faults({path + ": can't be read"});
+  if (!file)
+    throw Faults({path + ": can't be read"});
   try {
     return Json::parse(file);
-  } catch (const Json::exception& fault) { throw Faults({path + ": is no JSON: " + fault.what()}); }
+  } catch (const Json::exception& fault) {
+    throw Faults({path + ": is no JSON: " + fault.what()});
+  }
 }
 
 std::vector<std::string> schemaFaults(const Json& document, const char* schemaText, const std::string& path) {
@@ -94,11 +101,13 @@
   parser.populateSchema(schemaAdapter, schema);
   valijson::Validator validator;
   valijson::ValidationResults results;
-  if (validator.validate(schema, documentAdapter, &results)) return faults;
+  if (validator.validate(schema, documentAdapter, &results))
+    return faults;
   std::set<std::string> told;
   valijson::ValidationResults::Error error;
   std::vector<valijson::ValidationResults::Error> errors;
-  while (results.popError(error)) errors.push_back(error);
+  while (results.popError(error))
+    errors.push_back(error);
   for (auto& [place, what] :
        errors) {  // the deepest place of each fault, with what stands and what may stand there
     bool missing = what.starts_with("Missing required property");
@@ -106,7 +115,8 @@
       return other.context.size() > place.size() &&
              std::equal(place.begin(), place.end(), other.context.begin());
     });
-    if (deeper && !missing) continue;
+    if (deeper && !missing)
+      continue;
     const Json* value = &document;
     const Json* at = &resolved(schemaJson, schemaJson);
     std::string key;
@@ -130,7 +140,8 @@
     bool unknown = std::ranges::any_of(faults, [&](auto& line) {  // told above, and better
       return line.starts_with(path + ": " + key + (key.empty() ? "" : "."));
     });
-    if (!unknown) told.insert(head + "found " + shown(*value) + "; allowed is " + allowed(*at));
+    if (!unknown)
+      told.insert(head + "found " + shown(*value) + "; allowed is " + allowed(*at));
   }
   faults.insert(faults.end(), told.begin(), told.end());
   return faults;
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -16,7 +16,8 @@
 template <typename T>
 T named(const std::string& word, std::initializer_list<std::pair<const char*, T>> words) {
   for (auto& [name, value] : words)
-    if (word == name) return value;
+    if (word == name)
+      return value;
   throw std::invalid_argument("unknown word '" + word + "'");
 }
 
@@ -39,7 +40,8 @@
   }
   template <typename T>
   T need(const char* key) const {
-    if (const Json* found = find(key)) return read<T>(key, *found);
+    if (const Json* found = find(key))
+      return read<T>(key, *found);
     fault(key, "is missing");
   }
   double seconds(const char* key, double otherwise = 0) const { return get(key, otherwise * 1e6) / 1e6; }
@@ -48,7 +50,8 @@
          std::initializer_list<std::pair<const char*, T>> words) const {
     auto said = get<std::string>(key, otherwise);
     for (auto& [name, value] : words)
-      if (said == name) return value;
+      if (said == name)
+        return value;
     fault(key, "unknown word '" + said + "'");
   }
 
@@ -56,17 +59,21 @@
   Section part(const char* key) const {  // an empty one where it is absent
     static const Json none = Json::object();
     const Json* found = find(key);
-    if (found && !found->is_object()) fault(key, "must be an object");
+    if (found && !found->is_object())
+      fault(key, "must be an object");
     return Section(found ? *found : none, nameOf(key));
   }
   std::vector<Section> rows(const char* key) const {
     std::vector<Section> parts;
     const Json* found = find(key);
-    if (!found) return parts;
-    if (!found->is_array()) fault(key, "must be a list");
+    if (!found)
+      return parts;
+    if (!found->is_array())
+      fault(key, "must be a list");
     for (auto& row : *found) {
       auto path = nameOf(key) + "[" + std::to_string(parts.size()) + "]";
-      if (!row.is_object()) throw std::invalid_argument(path + ": must be an object");
+      if (!row.is_object())
+        throw std::invalid_argument(path + ": must be an object");
       parts.emplace_back(row, path);
     }
     return parts;
@@ -81,7 +88,9 @@
   T read(const char* key, const Json& value) const {
     try {
       return value.get<T>();
-    } catch (const Json::exception&) { fault(key, "is of the wrong type"); }
+    } catch (const Json::exception&) {
+      fault(key, "is of the wrong type");
+    }
   }
 
   const Json& json_;
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -33,7 +33,8 @@
   settings.gateways = config.get("balancers", 1);
   settings.ordinal = config.get("ordinal", -1);
   settings.zone = config.get<std::string>("zone", "");
-  for (auto& row : config.rows("classes")) settings.profiles.push_back(readProfile(row));
+  for (auto& row : config.rows("classes"))
+    settings.profiles.push_back(readProfile(row));
   for (auto& row : config.rows("accounts"))
     settings.tenants.push_back(
         {row.need<std::string>("name"), row.get("fraction", 1.0), row.get("quotaPerS", 0.0)});
@@ -43,9 +44,12 @@
   auto loads = specifics.get("isLoad", std::vector<bool>{});
   auto yields = specifics.get("yieldsToLoads", std::vector<bool>{});
   for (size_t i = 0; i < settings.profiles.size(); ++i) {
-    if (i < threads.size()) settings.profiles[i].threads = threads[i];
-    if (i < loads.size()) settings.profiles[i].load = loads[i];
-    if (i < yields.size()) settings.profiles[i].yields = yields[i];
+    if (i < threads.size())
+      settings.profiles[i].threads = threads[i];
+    if (i < loads.size())
+      settings.profiles[i].load = loads[i];
+    if (i < yields.size())
+      settings.profiles[i].yields = yields[i];
   }
   auto kinds = config.get("flavors", Names{});
   auto cores = specifics.get("kindCores", std::vector<double>{});
@@ -90,11 +94,13 @@
   links.kinds = config.need<Names>("flavors");
   const Section limits = config.part("limits");
   links.sendsPerConnection = limits.need<int>("streamsPerConn");
-  if (links.sendsPerConnection < 1) limits.fault("streamsPerConn", "must be at least 1");
+  if (links.sendsPerConnection < 1)
+    limits.fault("streamsPerConn", "must be at least 1");
   auto span = [&](const char* key) {
     limits.need<double>(key);
     double time = limits.seconds(key);
-    if (!(time > 0)) limits.fault(key, "must be above 0");
+    if (!(time > 0))
+      limits.fault(key, "must be above 0");
     return time;
   };
   links.connectTimeout = span("connectTimeoutUs");
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -25,7 +25,8 @@
 
 members::Member placeOf(const members::Plan& plan, const std::string& name) {
   for (size_t i = 0; i < plan.peers.size(); ++i)
-    if (plan.peers[i].name == name) return members::Member(i);
+    if (plan.peers[i].name == name)
+      return members::Member(i);
   throw members::Fault(members::Wrong::notListed,
                        "the list in the gateway file's members.peers does not name it", "'" + name + "'");
 }
@@ -49,9 +50,11 @@
         core(plan, self, life, seed, clock.now()),
         shell(scheduler, plan, self, core),
         signal(scheduler) {
-    if (!sharing) return;
+    if (!sharing)
+      return;
     std::vector<std::string> names;
-    for (auto& rate : sharing->rates) names.push_back(rate.name());
+    for (auto& rate : sharing->rates)
+      names.push_back(rate.name());
     wire = std::make_unique<shared::LetterWire>(names, sharing->terms.amounts);
     loans = std::make_unique<shared::Loans>(sharing->terms, self, life.instance, seed, clock.now());
   }
@@ -85,12 +88,14 @@
 }
 
 Control::~Control() {
-  if (thread_.joinable() && !stop()) std::_Exit(EXIT_FAILURE);  // it hangs, and works on what goes with us
+  if (thread_.joinable() && !stop())
+    std::_Exit(EXIT_FAILURE);  // it hangs, and works on what goes with us
 }
 
 // --- the control thread
 Task Control::leave(Inside& inside, const Descriptor& wake) {
-  for (uint64_t told; ::read(wake.fd(), &told, sizeof told) != sizeof told;) co_await inside.signal;
+  for (uint64_t told; ::read(wake.fd(), &told, sizeof told) != sizeof told;)
+    co_await inside.signal;
   inside.core.leave(inside.scheduler.now());
   inside.shell.send();
   inside.scheduler.stop();
@@ -112,22 +117,28 @@
   auto& loans = inside.loans;
   auto& core = inside.core;
   if (const auto* wants = wants_.get())
-    for (size_t i = 0; i < wants->size() && i < loans->amounts(); ++i) loans->want(i, (*wants)[i]);
+    for (size_t i = 0; i < wants->size() && i < loans->amounts(); ++i)
+      loans->want(i, (*wants)[i]);
   for (size_t i = 0; i < inside.plan.peers.size(); ++i)
     loans->there(int(i), core.claimOf(members::Member(i)).state == members::State::alive);
   for (auto& parcel : core.parcels()) {
     auto letter = inside.wire->read(parcel.bytes, parcel.from, inside.self);
-    if (letter) loans->hear(now, *letter);
-    else core.wrong(members::Wrong::undecodable);
+    if (letter)
+      loans->hear(now, *letter);
+    else
+      core.wrong(members::Wrong::undecodable);
   }
   loans->tick(now);
   auto letters = loans->out();
-  if (!letters.empty()) tell(inside, now);
-  for (auto& letter : letters) inside.waiting.emplace_back(inside.told, std::move(letter));
+  if (!letters.empty())
+    tell(inside, now);
+  for (auto& letter : letters)
+    inside.waiting.emplace_back(inside.told, std::move(letter));
   uint64_t heeded = heeded_.load(std::memory_order_acquire);
   std::erase_if(inside.waiting, [&](auto& one) {
     auto& [number, letter] = one;
-    if (letter.kind != shared::Letter::Kind::ask && number > heeded) return false;
+    if (letter.kind != shared::Letter::Kind::ask && number > heeded)
+      return false;
     core.post(letter.to, inside.wire->write(letter));
     return true;
   });
@@ -144,20 +155,24 @@
       auto happened = inside.core.happened();
       for (auto& event : happened) {
         const std::string& who = inside.plan.peers[size_t(event.member)].name;
-        if (event.wrong) error() << members::lineOf(*event.wrong, event.why, who);
+        if (event.wrong)
+          error() << members::lineOf(*event.wrong, event.why, who);
         else
           info().with("member", who) << "members: " << who << " is " << members::nameOf(event.state) << ", "
                                      << event.why;
       }
-      if (!happened.empty() || now >= inside.toldAt + kTellEach) tell(inside, now);
-      if (!inside.loans) return HUGE_VAL;
+      if (!happened.empty() || now >= inside.toldAt + kTellEach)
+        tell(inside, now);
+      if (!inside.loans)
+        return HUGE_VAL;
       lend(inside, now);
       inside.shell.send();
       // While letters wait for traffic, soon again: it looks every few milliseconds.
       return inside.waiting.empty() ? inside.loans->wakes() : now + kHeedEach;
     });
     inside.scheduler.run();
-    if (auto fault = inside.shell.fault()) std::rethrow_exception(fault);
+    if (auto fault = inside.shell.fault())
+      std::rethrow_exception(fault);
   } catch (const std::exception& fault) {
     error() << members::lineOf(members::Wrong::controlEnded, fault.what(), "control thread");
   }
@@ -172,7 +187,8 @@
   if (stale && !silent_)
     warn() << members::lineOf(members::Wrong::controlSilent, "nothing told for " + std::to_string(age) + " s",
                               "control thread");
-  if (!stale && silent_) info() << "members: the control thread tells again";
+  if (!stale && silent_)
+    info() << "members: the control thread tells again";
   silent_ = stale;
   return stale ? nullptr : told;
 }
@@ -189,7 +205,8 @@
   uint64_t one = 1;
   (void)!::write(wake_, &one, sizeof one);
   for (double end = clock_.now() + kStopTime; !ended_;) {
-    if (clock_.now() >= end) return false;
+    if (clock_.now() >= end)
+      return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
   thread_.join();
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -30,7 +30,8 @@
 
 std::optional<Report> readReport(const Json& event) {
   auto usage = event.find("usage");
-  if (usage == event.end() || usage->is_null()) return std::nullopt;
+  if (usage == event.end() || usage->is_null())
+    return std::nullopt;
   auto figure = [&](const char* name) {
     auto found = usage->find(name);
     return found == usage->end() || found->is_null() ? std::nullopt : std::optional(found->get<double>());
@@ -59,7 +60,8 @@
                                    {{"in_service", NodeState::inService},
                                     {"terminating", NodeState::draining},
                                     {"terminated", NodeState::gone}});
-    if (double started = at.seconds("bootTimeUs"); started > 0) row.startedAt = started;
+    if (double started = at.seconds("bootTimeUs"); started > 0)
+      row.startedAt = started;
     rows.push_back(std::move(row));
   }
   return rows;
@@ -76,13 +78,19 @@
   void happen(const std::string& kind, const Json& event, const std::map<int, Rows>& pages, double now) {
     now_ = now;
     gateway_->at(now);
-    if (kind == "INBOUND") take(event);
-    else if (kind == "RESPONSE") respond(event);
-    else if (kind == "INTERIM") note(event);
+    if (kind == "INBOUND")
+      take(event);
+    else if (kind == "RESPONSE")
+      respond(event);
+    else if (kind == "INTERIM")
+      note(event);
     else if (kind == "OPENED") {
-      if (auto* held = find(event)) held->command->opened();
-    } else if (kind == "WITHDRAWN") withdraw(event);
-    else if (kind == "ENDPOINTS") list(event, pages);
+      if (auto* held = find(event))
+        held->command->opened();
+    } else if (kind == "WITHDRAWN")
+      withdraw(event);
+    else if (kind == "ENDPOINTS")
+      list(event, pages);
     else if (kind == "SAMPLED") {
       auto report = readReport(event);
       gateway_->probed(event.at("node").get<uint32_t>(), readOutcome(event.at("result").get<std::string>()),
@@ -138,7 +146,8 @@
     return found == live_.end() ? nullptr : &found->second;
   }
   void drop(Held& held) {
-    if (!held.over || held.out > 0) return;
+    if (!held.over || held.out > 0)
+      return;
     auto id = ids_.find(held.command.get());
     std::string rid = std::move(id->second);
     ids_.erase(id);
@@ -147,7 +156,8 @@
   void finish(Command& command) { live_.at(ids_.at(&command)).over = true, ended_.push_back(&command); }
   void sweep() {  // forget what was ended by the module's own answer
     for (Command* command : ended_)
-      if (auto id = ids_.find(command); id != ids_.end()) drop(live_.at(id->second));
+      if (auto id = ids_.find(command); id != ids_.end())
+        drop(live_.at(id->second));
     ended_.clear();
   }
 
@@ -159,7 +169,8 @@
     if (auto tenant = event.find("billing"); tenant != event.end() && tenant->is_string())
       arrival.tenant = tenant->get<std::string>();
     arrival.tables = from.get<uint64_t>("dataGroup", 0);
-    if (auto key = from.get<std::string>("table", ""); !key.empty()) arrival.key = readHex(key);
+    if (auto key = from.get<std::string>("table", ""); !key.empty())
+      arrival.key = readHex(key);
     arrival.work = from.seconds("costUs");
     arrival.memoryMb = from.get("needMb", 0.0);
     arrival.timeLeft = from.seconds("expiresInUs");
@@ -170,7 +181,8 @@
   }
   void respond(const Json& event) {
     Held* held = find(event);
-    if (!held) return;
+    if (!held)
+      return;
     const Section from(event);
     auto report = readReport(event);
     std::optional<Bill> bill;
@@ -185,17 +197,21 @@
   }
   void note(const Json& event) {
     Held* held = find(event);
-    if (!held) return;
+    if (!held)
+      return;
     const Section from(event);
     int topic = from.need<int>("topic");
-    if (topic < 1 || topic > 3) return;
+    if (topic < 1 || topic > 3)
+      return;
     static constexpr Topic topics[] = {Topic::progress, Topic::spills, Topic::waits};
     held->command->note(topics[topic - 1], from.get("level", 0.0));
   }
   void withdraw(const Json& event) {
     Held* held = find(event);
-    if (!held) return;
-    if (!held->over) held->command->withdrawn();
+    if (!held)
+      return;
+    if (!held->over)
+      held->command->withdrawn();
     held->over = true;
     drop(*held);
   }
@@ -221,14 +237,19 @@
   void line(const std::string& text) {
     Json event = Json::parse(text);
     auto kind = event.at("kind").get<std::string>();
-    if (kind == "FRAME") now_ = event.at("tUs").get<double>() / 1e6;
-    else if (kind == "EOB") endBatch();
-    else if (kind == "SNAPSHOT_ROWS") pages_[event.at("page").get<int>()] = readRows(event.at("lines"));
+    if (kind == "FRAME")
+      now_ = event.at("tUs").get<double>() / 1e6;
+    else if (kind == "EOB")
+      endBatch();
+    else if (kind == "SNAPSHOT_ROWS")
+      pages_[event.at("page").get<int>()] = readRows(event.at("lines"));
     else {
       int who = event.at("who").get<int>();
       guarded(who, [&] {
-        if (kind == "NEW_INSTANCE") instances_[who] = std::make_unique<Instance>(who, event, now_);
-        else if (kind == "CRASH_NOW") instances_.erase(who), touched_.erase(who);
+        if (kind == "NEW_INSTANCE")
+          instances_[who] = std::make_unique<Instance>(who, event, now_);
+        else if (kind == "CRASH_NOW")
+          instances_.erase(who), touched_.erase(who);
         if (auto found = instances_.find(who); found != instances_.end()) {
           touched_.insert(who);
           found->second->happen(kind, event, pages_, now_);
@@ -243,7 +264,9 @@
   void guarded(int who, Act act) {
     try {
       act();
-    } catch (const Json::exception&) { throw; } catch (const std::invalid_argument&) {
+    } catch (const Json::exception&) {
+      throw;
+    } catch (const std::invalid_argument&) {
       throw;
     } catch (const std::exception& fault) {
       Json line = {{"kind", "GIVE_IN"}, {"who", who}, {"line", fault.what()}};
@@ -251,7 +274,8 @@
     }
   }
   void endBatch() {
-    for (int who : touched_) guarded(who, [&] { instances_.at(who)->settle(); });
+    for (int who : touched_)
+      guarded(who, [&] { instances_.at(who)->settle(); });
     touched_.clear();
     std::cout << "{\"kind\":\"NEXT\"}\n" << std::flush;
   }
@@ -272,7 +296,8 @@
   long number = 0;
   while (std::getline(std::cin, text)) {
     ++number;
-    if (text.empty()) continue;
+    if (text.empty())
+      continue;
     try {
       drill.line(text);
     } catch (const std::exception& fault) {
--- a/src/lab/baseline.h
+++ b/src/lab/baseline.h
@@ -19,15 +19,19 @@
     auto one = std::make_shared<One>(*this);
     one->endsAt = now_ + arrival.timeLeft;
     for (auto& profile : settings_.profiles)
-      if (profile.name == arrival.profile) one->threads = profile.threads;
+      if (profile.name == arrival.profile)
+        one->threads = profile.threads;
     queue_.push_back(one);
     return one;
   }
   void list(ListKind kind, const std::vector<NodeRow>& rows) override {
-    if (kind == ListKind::error) return;
+    if (kind == ListKind::error)
+      return;
     for (auto& row : rows) {
-      if (row.state != NodeState::inService) out_.erase(row.id);
-      else out_.try_emplace(row.id, 0);
+      if (row.state != NodeState::inService)
+        out_.erase(row.id);
+      else
+        out_.try_emplace(row.id, 0);
     }
   }
   void probed(uint32_t, Outcome, const Report*) override {}
@@ -36,9 +40,11 @@
       auto one = queue_.front();
       auto place = best();
       bool late = now_ > one->endsAt - 0.1;
-      if (!one->over && !late && (place == out_.end() || (!random_ && place->second >= 2 * cores()))) break;
+      if (!one->over && !late && (place == out_.end() || (!random_ && place->second >= 2 * cores())))
+        break;
       queue_.pop_front();
-      if (one->over) continue;
+      if (one->over)
+        continue;
       if (late) {
         one->over = true, outlet_.shed(*one, 0);
         continue;
@@ -57,8 +63,10 @@
     void withdrawn() override { over = true; }
     void endsBy(double) override {}
     void outcome(Outcome, double, bool final, const Bill*, const Report*) override {
-      if (auto at = owner.out_.find(node); at != owner.out_.end()) at->second -= threads;
-      if (!over && !final) owner.outlet_.fail(*this);
+      if (auto at = owner.out_.find(node); at != owner.out_.end())
+        at->second -= threads;
+      if (!over && !final)
+        owner.outlet_.fail(*this);
       over = true;
     }
     Baseline& owner;
@@ -69,8 +77,10 @@
   };
   double cores() const { return settings_.kinds.front().cores / settings_.gateways; }
   std::map<uint32_t, double>::iterator best() {
-    if (out_.empty()) return out_.end();
-    if (random_) return std::next(out_.begin(), long(chance_.next() % out_.size()));
+    if (out_.empty())
+      return out_.end();
+    if (random_)
+      return std::next(out_.begin(), long(chance_.next() % out_.size()));
     return std::min_element(out_.begin(), out_.end(), [](auto& a, auto& b) { return a.second < b.second; });
   }
   Settings settings_;
--- a/src/lab/capacity_page.cpp
+++ b/src/lab/capacity_page.cpp
@@ -19,8 +19,10 @@
 
 std::string growth(const Figure& figure) {
   Fits fits = figure.fits();
-  if (figure.xs.size() < 3) return "too few sizes";
-  if (fits.best == Growth::none) return "neither line nor power";
+  if (figure.xs.size() < 3)
+    return "too few sizes";
+  if (fits.best == Growth::none)
+    return "neither line nor power";
   bool line = fits.best == Growth::line;
   const Fit& fit = line ? *fits.line : *fits.power;
   std::string form = line ? shortly(fit.a) + (fit.b < 0 ? " - " : " + ") + shortly(std::abs(fit.b)) + " x"
@@ -33,8 +35,10 @@
 }
 
 std::string passed(const Figure& one) {
-  if (!one.limit || one.ys.empty()) return "-";
-  if (auto at = one.passedAt()) return (one.ys.front() > *one.limit ? "at or below " : "") + shortly(*at);
+  if (!one.limit || one.ys.empty())
+    return "-";
+  if (auto at = one.passedAt())
+    return (one.ys.front() > *one.limit ? "at or below " : "") + shortly(*at);
   return "above " + shortly(one.xs.back());  // and no fit tells where
 }
 
@@ -47,7 +51,8 @@
   if (one.target && one.atTarget())
     row << shortly(*one.target) << ": " << shortly(one.atTarget())
         << (one.measuredAtTarget() ? "" : " (fitted)");
-  else row << "-";
+  else
+    row << "-";
   row << " | " << shortly(one.limit) << " | " << passed(one) << " |\n";
   return row.str();
 }
@@ -61,13 +66,15 @@
   std::string rows;
   for (auto& file : files)
     for (auto& one : file.figures)
-      if (named(one.name)) rows += rowOf(one);
+      if (named(one.name))
+        rows += rowOf(one);
   for (auto& file : files)
     for (auto& one : file.missing)
       if (named(one.figure))
         rows += "| " + nameOf(one.figure, one.variant) + " | " + shortly(one.x) +
                 " | not taken: " + one.reason + " | - | - | - | - |\n";
-  if (rows.empty()) return rows;
+  if (rows.empty())
+    return rows;
   return "| figure | by | measured | grows as | at target | limit | passed at |\n"
          "| --- | --- | --- | --- | --- | --- | --- |\n" +
          rows;
@@ -78,14 +85,18 @@
   std::string out, line;
   for (size_t number = 1; std::getline(in, line); ++number) {
     out += line + "\n";
-    if (!line.starts_with(kBegin)) continue;
+    if (!line.starts_with(kBegin))
+      continue;
     std::istringstream words(line.substr(sizeof kBegin - 1));
     std::vector<std::string> prefixes;
-    for (std::string word; words >> word && word != "-->";) prefixes.push_back(word);
+    for (std::string word; words >> word && word != "-->";)
+      prefixes.push_back(word);
     std::string table = tableOf(files, prefixes), where = "line " + std::to_string(number) + ": ";
-    if (table.empty()) throw Faults({where + "no figure has a name that begins so"});
+    if (table.empty())
+      throw Faults({where + "no figure has a name that begins so"});
     do {
-      if (!std::getline(in, line)) throw Faults({where + "the table has no " + kEnd});
+      if (!std::getline(in, line))
+        throw Faults({where + "the table has no " + kEnd});
       ++number;
     } while (line != kEnd);
     out += table + kEnd + "\n";
@@ -98,7 +109,8 @@
   for (size_t number = 1;; ++number) {
     std::string found, wanted;
     bool more = bool(std::getline(has, found)), due = bool(std::getline(wants, wanted));
-    if (!more && !due) return std::nullopt;
+    if (!more && !due)
+      return std::nullopt;
     if (found != wanted)
       return "line " + std::to_string(number) + " is\n  " + found + "\nand the figures say\n  " + wanted;
   }
--- a/src/lab/check.cpp
+++ b/src/lab/check.cpp
@@ -27,19 +27,25 @@
   std::unordered_map<uint64_t, double> drained;  // by gateway and node: told when
   for (auto& row : record.rows) {
     uint64_t place = uint64_t(row.gateway) << 32 | row.node;
-    if (row.mark == Mark::drained) drained.try_emplace(place, row.at);
-    if (row.mark == Mark::told) drained.erase(place);
-    if (row.mark == Mark::drained || row.mark == Mark::told || row.mark == Mark::taken) continue;
+    if (row.mark == Mark::drained)
+      drained.try_emplace(place, row.at);
+    if (row.mark == Mark::told)
+      drained.erase(place);
+    if (row.mark == Mark::drained || row.mark == Mark::told || row.mark == Mark::taken)
+      continue;
     Life& life = lives[row.command];
     const Asked& asked = record.asked[row.command];
     const Profile& profile = scene.settings.profiles[asked.profile];
     switch (row.mark) {
       case Mark::sent:
-        if (life.finals > 0) say(1, row.command, row.at, "sent after its answer");
-        if (life.out > 0) say(2, row.command, row.at, "two sends out at once");
+        if (life.finals > 0)
+          say(1, row.command, row.at, "sent after its answer");
+        if (life.out > 0)
+          say(2, row.command, row.at, "two sends out at once");
         if (life.ran > 0 && profile.effect == Effect::nonReplayable)
           say(2, row.command, row.at, "non-replayable, and sent again after it may have run");
-        if (++life.sends > scene.settings.maxSends) say(7, row.command, row.at, "more sends than allowed");
+        if (++life.sends > scene.settings.maxSends)
+          say(7, row.command, row.at, "more sends than allowed");
         if (auto told = drained.find(place); told != drained.end() && row.at > told->second + 0.25)
           say(3, row.command, row.at,
               "sent to node " + std::to_string(row.node) + ", drained since " + std::to_string(told->second));
@@ -52,17 +58,20 @@
         --life.out;
         break;
       default:
-        if (++life.finals > 1) say(1, row.command, row.at, "a second answer");
+        if (++life.finals > 1)
+          say(1, row.command, row.at, "a second answer");
         if (row.mark == Mark::shed && life.ran > 0 && profile.effect == Effect::nonReplayable)
           say(2, row.command, row.at, "non-replayable, has run, and was shed");
-        if (row.at > asked.timeoutAt + kGrace) say(1, row.command, row.at, "answered after its client's end");
+        if (row.at > asked.timeoutAt + kGrace)
+          say(1, row.command, row.at, "answered after its client's end");
     }
   }
   double end = scene.lasts;
   for (size_t i = 0; i < lives.size(); ++i)
     if (lives[i].finals == 0 && record.asked[i].timeoutAt + kGrace < end)
       say(1, i, record.asked[i].timeoutAt, "no answer");
-  if (record.fell > 0) say(4, 0, 0, std::to_string(record.fell) + " cold engines pushed over");
+  if (record.fell > 0)
+    say(4, 0, 0, std::to_string(record.fell) + " cold engines pushed over");
   return broken;
 }
 
--- a/src/lab/engine.cpp
+++ b/src/lab/engine.cpp
@@ -7,7 +7,8 @@
 
 double Engine::threads() const {
   double all = 0;
-  for (auto& one : running_) all += one.threads;
+  for (auto& one : running_)
+    all += one.threads;
   return all;
 }
 
@@ -29,24 +30,29 @@
 void Engine::share(double now) {
   static constexpr double kWeights[] = {1, 4, 8, 16};
   double all = threads(), able = cores(now) * fleet_.kind.speed / times_;
-  if (double over = all / std::max(cores(now), 1e-9) - fleet_.knee; over > 0) able /= 1 + fleet_.fall * over;
+  if (double over = all / std::max(cores(now), 1e-9) - fleet_.knee; over > 0)
+    able /= 1 + fleet_.fall * over;
   double memory = 0;
-  for (auto& one : running_) memory += one.memoryMb, one.rate = 0;
+  for (auto& one : running_)
+    memory += one.memoryMb, one.rate = 0;
   double spill = fleet_.kind.memoryMb > 0 && memory > fleet_.kind.memoryMb
                      ? 1 + fleet_.spillCost * (1 - fleet_.kind.memoryMb / memory)
                      : 1;
   double left = able;
   std::vector<Running*> open;
-  for (auto& one : running_) open.push_back(&one);
+  for (auto& one : running_)
+    open.push_back(&one);
   while (!open.empty() && left > 1e-12) {
     double weights = 0;
-    for (auto* one : open) weights += kWeights[std::clamp(one->priority, 0, 3)] * one->threads;
+    for (auto* one : open)
+      weights += kWeights[std::clamp(one->priority, 0, 3)] * one->threads;
     bool full = false;
     double given = 0;
     for (auto* one : open) {
       double most = one->threads * fleet_.kind.speed / times_;
       double part = left * kWeights[std::clamp(one->priority, 0, 3)] * one->threads / weights;
-      if (part >= most) one->rate = most, given += most, full = true;
+      if (part >= most)
+        one->rate = most, given += most, full = true;
     }
     if (!full) {
       for (auto* one : open)
@@ -56,24 +62,30 @@
     left -= given;
     std::erase_if(open, [](auto* one) { return one->rate > 0; });
   }
-  for (auto& one : running_) one.rate /= spill;
+  for (auto& one : running_)
+    one.rate /= spill;
 }
 
 bool Engine::begin(double now, const Running& send, uint64_t tables) {
-  if (!up) return false;
+  if (!up)
+    return false;
   pass(now);
   Running one = send;
   bool warm = std::ranges::find(warm_, tables) != warm_.end();
   warm_.remove(tables), warm_.push_front(tables);
-  if (warm_.size() > size_t(fleet_.warmGroups)) warm_.pop_back();
-  if (warm) one.left *= 1 - fleet_.warmSaves;
+  if (warm_.size() > size_t(fleet_.warmGroups))
+    warm_.pop_back();
+  if (warm)
+    one.left *= 1 - fleet_.warmSaves;
   running_.push_back(one);
   if (fleet_.fallMultiple > 0 && startedAt && now < *startedAt + fleet_.coldTime) {  // is it pushed over?
     coldWork_.emplace_back(now, one.work);
     double sum = 0;
     for (auto& [at, work] : coldWork_)
-      if (at > now - fleet_.fallTime) sum += work;
-    if (sum > fleet_.fallMultiple * cores(now) * fleet_.fallTime) fell = true;
+      if (at > now - fleet_.fallTime)
+        sum += work;
+    if (sum > fleet_.fallMultiple * cores(now) * fleet_.fallTime)
+      fell = true;
   }
   share(now);
   return true;
@@ -88,7 +100,8 @@
 void Engine::rank(double now, uint64_t send, int priority) {
   pass(now);
   for (auto& one : running_)
-    if (one.send == send) one.priority = priority;
+    if (one.send == send)
+      one.priority = priority;
   share(now);
 }
 
@@ -103,9 +116,11 @@
 std::optional<double> Engine::nextEnd() const {
   std::optional<double> at;
   for (auto& one : running_)
-    if (one.rate > 0) at = std::min(at.value_or(HUGE_VAL), last_ + std::max(0.0, one.left) / one.rate);
+    if (one.rate > 0)
+      at = std::min(at.value_or(HUGE_VAL), last_ + std::max(0.0, one.left) / one.rate);
   // While it warms up its cores change: rates are looked at again before long.
-  if (at && startedAt && last_ < *startedAt + fleet_.coldTime) at = std::min(*at, last_ + 0.25);
+  if (at && startedAt && last_ < *startedAt + fleet_.coldTime)
+    at = std::min(*at, last_ + 0.25);
   return at;
 }
 
--- a/src/lab/events.h
+++ b/src/lab/events.h
@@ -16,7 +16,8 @@
     std::push_heap(heap_.begin(), heap_.end(), later);
   }
   bool next(double& now) {
-    if (heap_.empty()) return false;
+    if (heap_.empty())
+      return false;
     std::pop_heap(heap_.begin(), heap_.end(), later);
     One one = std::move(heap_.back());
     heap_.pop_back();
--- a/src/lab/figures.cpp
+++ b/src/lab/figures.cpp
@@ -13,11 +13,13 @@
   double half = 0, nine = 0;
   std::vector<double> errors;
   for (auto& wait : waits) {
-    if (wait.at < from || wait.at >= to || wait.seen <= 0.02) continue;  // what was held at all
+    if (wait.at < from || wait.at >= to || wait.seen <= 0.02)
+      continue;  // what was held at all
     half += wait.seen <= wait.half, nine += wait.seen <= wait.nine;
     errors.push_back(std::abs(wait.seen - wait.half) / wait.seen);
   }
-  if (errors.empty()) return;
+  if (errors.empty())
+    return;
   figures[name + ".half"] = half / double(errors.size()),
                  figures[name + ".nine"] = nine / double(errors.size());
   std::ranges::nth_element(errors, errors.begin() + long(errors.size() / 2));
@@ -28,8 +30,10 @@
 // The ninety-ninth of a hundred and the greatest, over the mean.
 void spread(std::vector<double> values, const std::string& name, std::map<std::string, double>& figures) {
   double sum = 0;
-  for (double value : values) sum += value;
-  if (sum <= 0) return;
+  for (double value : values)
+    sum += value;
+  if (sum <= 0)
+    return;
   double mean = sum / double(values.size());
   std::ranges::sort(values);
   figures[name + ".p99"] = values[size_t(0.99 * double(values.size() - 1))] / mean;
@@ -41,16 +45,20 @@
   std::vector<double> work(size_t(scene.fleet.engines));
   std::set<std::pair<uint32_t, uint32_t>> pairs;
   for (auto& row : record.rows) {
-    if (row.mark == Mark::sent) pairs.emplace(row.node, row.gateway);
-    if (row.mark == Mark::ran && row.at >= scene.from) work[row.node] += record.asked[row.command].work;
+    if (row.mark == Mark::sent)
+      pairs.emplace(row.node, row.gateway);
+    if (row.mark == Mark::ran && row.at >= scene.from)
+      work[row.node] += record.asked[row.command].work;
   }
   std::vector<double> users(work.size());
-  for (auto& [node, gateway] : pairs) ++users[node];
+  for (auto& [node, gateway] : pairs)
+    ++users[node];
   spread(work, "engines.work", figures), spread(record.load, "engines.threads", figures);
   figures["engines.users"] = double(pairs.size()) / double(users.size());
   figures["engines.users.most"] = *std::ranges::max_element(users);
   figures["cold.fell"] = double(record.fell);
-  if (record.coldAble > 0) figures["cold.used"] = record.coldBusy / record.coldAble;
+  if (record.coldAble > 0)
+    figures["cold.used"] = record.coldBusy / record.coldAble;
 }
 
 }  // namespace
@@ -75,20 +83,24 @@
       its = std::max(its, row.at - record.asked[row.command].at);
     }
     sheds += row.mark == Mark::shed;
-    if (row.mark != Mark::answered) continue;
+    if (row.mark != Mark::answered)
+      continue;
     const Asked& asked = record.asked[row.command];
     const Asked& first = record.asked[asked.first];
     const Profile& profile = profiles[asked.profile];
     double worth = row.at <= first.targetAt ? 1 : profile.lateShare;
     best[asked.first] = std::max(best[asked.first], worth);
-    if (first.at >= scene.from && first.timeoutAt <= scene.lasts) teams[asked.team].work += asked.work;
+    if (first.at >= scene.from && first.timeoutAt <= scene.lasts)
+      teams[asked.team].work += asked.work;
   }
   double longest = 0;  // only what could be over by the end counts
-  for (auto& profile : profiles) longest = std::max(longest, profile.clientTimeout);
+  for (auto& profile : profiles)
+    longest = std::max(longest, profile.clientTimeout);
   double end = scene.lasts - longest;
   for (size_t i = 0; i < record.asked.size(); ++i) {
     const Asked& asked = record.asked[i];
-    if (asked.first != i || asked.at < scene.from || asked.timeoutAt > scene.lasts) continue;
+    if (asked.first != i || asked.at < scene.from || asked.timeoutAt > scene.lasts)
+      continue;
     double benefit = profiles[asked.profile].benefit;
     for (Part* part : {&all, &teams[asked.team], &byProfile[asked.profile]})
       part->asked += benefit, part->earned += benefit * best[i], part->workAsked += asked.work;
@@ -98,7 +110,8 @@
   for (size_t i = 0; i < teams.size(); ++i) {
     figures["benefit." + scene.teams[i].name] = share(teams[i]);
     figures["held.most." + scene.teams[i].name] = mostByTeam[i];
-    if (!scene.budgets) continue;
+    if (!scene.budgets)
+      continue;
     for (auto& entry :
          scene.budgets->entries)  // of what it was guaranteed and asked for, the part that it got
       if (entry.name == scene.teams[i].name && entry.terms.guarantee.cores) {
@@ -110,12 +123,15 @@
     figures["benefit.profile." + profiles[i].name] = share(byProfile[i]);
   std::vector<double> lost(3 * teams.size());  // by team: shed, failed, late
   for (auto& row : record.rows) {
-    if (row.mark != Mark::shed && row.mark != Mark::failed && row.mark != Mark::answered) continue;
+    if (row.mark != Mark::shed && row.mark != Mark::failed && row.mark != Mark::answered)
+      continue;
     const Asked& asked = record.asked[row.command];
-    if (asked.first != row.command || asked.at < scene.from || asked.timeoutAt > scene.lasts) continue;
+    if (asked.first != row.command || asked.at < scene.from || asked.timeoutAt > scene.lasts)
+      continue;
     bool late = row.mark == Mark::answered && row.at > asked.targetAt;
     size_t how = row.mark == Mark::shed ? 0 : row.mark == Mark::failed ? 1 : 2;
-    if (how < 2 || late) lost[3 * asked.team + how] += profiles[asked.profile].benefit;
+    if (how < 2 || late)
+      lost[3 * asked.team + how] += profiles[asked.profile].benefit;
   }
   for (size_t i = 0; i < teams.size(); ++i)
     for (size_t how = 0; how < 3; ++how)  // benefit at stake in what was not answered in time, by cause
@@ -128,9 +144,11 @@
   std::vector<Wait> answered;
   std::vector<bool> was(record.asked.size());
   for (auto& row : record.rows)
-    if (row.mark == Mark::answered) was[row.command] = true;
+    if (row.mark == Mark::answered)
+      was[row.command] = true;
   for (auto& wait : record.waits)
-    if (was[wait.command]) answered.push_back(wait);
+    if (was[wait.command])
+      answered.push_back(wait);
   waitFigures(answered, scene.from, scene.lasts, "waits", figures);
   for (auto& trouble : scene.troubles)
     if (trouble.kind == "slow")
--- a/src/lab/figures_file.cpp
+++ b/src/lab/figures_file.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 Json jsonOf(const std::optional<Fit>& fit) {
-  if (!fit) return nullptr;
+  if (!fit)
+    return nullptr;
   return {{"a", fit->a}, {"b", fit->b}, {"r2", fit->r2}, {"residual", fit->residual}};
 }
 Json jsonOf(const std::optional<double>& value) { return value ? Json(*value) : Json(nullptr); }
@@ -49,20 +50,26 @@
 bool Figure::measuredAtTarget() const { return target && std::ranges::find(xs, *target) != xs.end(); }
 
 std::optional<double> Figure::atTarget() const {
-  if (!target) return std::nullopt;
-  if (measuredAtTarget()) return ys[size_t(std::ranges::find(xs, *target) - xs.begin())];
+  if (!target)
+    return std::nullopt;
+  if (measuredAtTarget())
+    return ys[size_t(std::ranges::find(xs, *target) - xs.begin())];
   return fits().at(*target);
 }
 
 std::optional<double> Figure::passedAt() const {
-  if (!limit || ys.empty()) return std::nullopt;
-  if (ys.front() > *limit) return xs.front();  // at the least size already
+  if (!limit || ys.empty())
+    return std::nullopt;
+  if (ys.front() > *limit)
+    return xs.front();  // at the least size already
   for (size_t i = 1; i < ys.size(); ++i)
-    if (ys[i] > *limit) return xs[i - 1] + (xs[i] - xs[i - 1]) * (*limit - ys[i - 1]) / (ys[i] - ys[i - 1]);
+    if (ys[i] > *limit)
+      return xs[i - 1] + (xs[i] - xs[i - 1]) * (*limit - ys[i - 1]) / (ys[i] - ys[i - 1]);
   auto at = fits().reaches(*limit);
   // Far beyond what was measured no fit tells anything.
   constexpr double kFarthest = 16;
-  if (!at || *at > kFarthest * xs.back()) return std::nullopt;
+  if (!at || *at > kFarthest * xs.back())
+    return std::nullopt;
   return std::max(*at, xs.back());
 }
 
@@ -70,13 +77,15 @@
   Json machine{{"cores", std::thread::hardware_concurrency()}};
   std::ifstream file("/proc/meminfo");
   std::string key;
-  if (double kb = 0; file >> key >> kb) machine["memoryMb"] = std::round(kb / 1024);
+  if (double kb = 0; file >> key >> kb)
+    machine["memoryMb"] = std::round(kb / 1024);
   return machine;
 }
 
 void writeFigures(const std::string& path, const FiguresFile& file) {
   Json figures = Json::array(), missing = Json::array();
-  for (auto& figure : file.figures) figures.push_back(jsonOf(figure));
+  for (auto& figure : file.figures)
+    figures.push_back(jsonOf(figure));
   for (auto& one : file.missing)
     missing.push_back(
         {{"figure", one.figure}, {"variant", one.variant}, {"x", one.x}, {"reason", one.reason}});
@@ -84,7 +93,8 @@
   out << Json{{"machine", file.machine}, {"plan", file.plan}, {"figures", figures}, {"missing", missing}}
              .dump(1)
       << '\n';
-  if (!out.flush()) throw Faults({path + ": can't be written"});
+  if (!out.flush())
+    throw Faults({path + ": can't be written"});
 }
 
 FiguresFile readFigures(const std::string& path) {
--- a/src/lab/gossip.cpp
+++ b/src/lab/gossip.cpp
@@ -35,7 +35,8 @@
       hosts_(plan_.peers.size()),
       cut_(plan_.peers.size(), std::vector<bool>(plan_.peers.size())),
       seeds_(seed << 20) {
-  for (size_t i = 0; i < hosts_.size(); ++i) hosts_[i].member = int(i);
+  for (size_t i = 0; i < hosts_.size(); ++i)
+    hosts_[i].member = int(i);
   seconds_.reserve(1);
   reset();
 }
@@ -51,7 +52,8 @@
 }
 
 void Gossip::startAll() {
-  for (size_t i = 0; i < hosts_.size(); ++i) start(int(i));
+  for (size_t i = 0; i < hosts_.size(); ++i)
+    start(int(i));
 }
 
 void Gossip::kill(int member) {
@@ -68,7 +70,8 @@
 
 void Gossip::resume(int member) {
   host(member).paused = false;
-  for (auto& bytes : std::exchange(host(member).waiting, {})) turn(host(member), &bytes);
+  for (auto& bytes : std::exchange(host(member).waiting, {}))
+    turn(host(member), &bytes);
   turn(host(member), nullptr);
 }
 
@@ -84,17 +87,20 @@
 
 void Gossip::part(const std::vector<int>& apart, bool is) {
   std::vector<bool> inside(hosts_.size());
-  for (int one : apart) inside[size_t(one)] = true;
+  for (int one : apart)
+    inside[size_t(one)] = true;
   for (size_t a = 0; a < hosts_.size(); ++a)
     for (size_t b = 0; b < hosts_.size(); ++b)
-      if (inside[a] != inside[b]) cut_[a][b] = is;
+      if (inside[a] != inside[b])
+        cut_[a][b] = is;
 }
 
 void Gossip::slow(int member, double by) { host(member).slow = by; }
 
 // --- turns
 void Gossip::turn(Host& its, const std::string* bytes) {
-  if (!its.core) return;
+  if (!its.core)
+    return;
   double began = threadSeconds();
   touched_.assign(1, its.member);
   if (bytes) {
@@ -102,33 +108,40 @@
     if (auto* message = std::get_if<Message>(&read)) {
       its.core->hear(now_, *message);
       touched_.push_back(message->from);
-      for (auto& row : message->rows) touched_.push_back(row.member);
-    } else its.core->wrong(std::get<Wrong>(read));
+      for (auto& row : message->rows)
+        touched_.push_back(row.member);
+    } else
+      its.core->wrong(std::get<Wrong>(read));
   }
   its.core->tick(now_);
   std::vector<std::pair<int, std::string>> out;
-  for (auto& message : its.core->out()) out.emplace_back(message.to, wire_.write(message));
+  for (auto& message : its.core->out())
+    out.emplace_back(message.to, wire_.write(message));
   double wakes = its.core->wakes();
   cpu_ += threadSeconds() - began;
   for (auto& event : its.core->happened()) {
     touched_.push_back(event.member);
-    if (event.wrong || event.why != "as seen from here" || !runs(event.member)) continue;
+    if (event.wrong || event.why != "as seen from here" || !runs(event.member))
+      continue;
     if (event.state == State::down) {
       ++downs_[size_t(its.member)];
       bool apart =
           cut_[size_t(its.member)][size_t(event.member)] || cut_[size_t(event.member)][size_t(its.member)];
       wrongDowns_ += !apart && its.core->claimOf(event.member).instance == core(event.member).life().instance;
     }
-    if (event.state == State::suspect) ++suspicions_[size_t(its.member)];
+    if (event.state == State::suspect)
+      ++suspicions_[size_t(its.member)];
   }
   check(its);
-  for (auto& [to, text] : out) deliver(its.member, host(to), text);
+  for (auto& [to, text] : out)
+    deliver(its.member, host(to), text);
   uint64_t version = ++its.version;
   bool isSecond = !seconds_.empty() && &its == &seconds_[0];
   size_t place = size_t(its.member);
   events_.at(std::max(wakes, now_ + 1e-4), [this, place, isSecond, version] {
     Host& woken = isSecond ? seconds_[0] : hosts_[place];
-    if (woken.version == version && !woken.paused) turn(woken, nullptr);
+    if (woken.version == version && !woken.paused)
+      turn(woken, nullptr);
   });
 }
 
@@ -136,37 +149,47 @@
   bool stream = bytes.size() > Core::kDatagram;
   bytes_ += bytes.size(), ++messages_, streams_ += stream;
   largest_ = std::max(largest_, bytes.size());
-  for (Traffic* its : {&traffic_[size_t(from)], &all_}) its->add(now_, bytes.size());
+  for (Traffic* its : {&traffic_[size_t(from)], &all_})
+    its->add(now_, bytes.size());
   if (stream)
-    for (Host* its : {&host(from), &to}) streamsAtOnce_ = std::max(streamsAtOnce_, ++its->streams);
+    for (Host* its : {&host(from), &to})
+      streamsAtOnce_ = std::max(streamsAtOnce_, ++its->streams);
   if (bytes.size() > kMostBytes && broken_.empty())
     broken_ = "a message of " + std::to_string(bytes.size()) + " bytes";
   const Weather& link = regions_ && regionOf(from) != regionOf(to.member) ? between : weather;
   int copies = 1 + (chance_.unit() < link.copies);
   for (int i = 0; i < copies; ++i) {
-    if (!stream && chance_.unit() < link.loss) continue;
+    if (!stream && chance_.unit() < link.loss)
+      continue;
     double way = chance_.between(link.least, link.most) * (stream ? 3 : 1) + to.slow;
     int place = to.member;
     // Who is reached as a member, where two have its name, is a matter of chance.
     bool other = !seconds_.empty() && seconds_[0].member == place && chance_.unit() < 0.5;
     bool counts = stream && i == 0;  // a copy is no second stream
     events_.at(now_ + way, [this, from, place, other, counts, bytes] {
-      if (counts) --host(from).streams, --host(place).streams;
-      if (cut_[size_t(from)][size_t(place)]) return;
-      if (host(place).core) traffic_[size_t(place)].add(now_, bytes.size()), all_.add(now_, bytes.size());
+      if (counts)
+        --host(from).streams, --host(place).streams;
+      if (cut_[size_t(from)][size_t(place)])
+        return;
+      if (host(place).core)
+        traffic_[size_t(place)].add(now_, bytes.size()), all_.add(now_, bytes.size());
       Host& reached = other ? seconds_[0] : hosts_[size_t(place)];
       if (reached.paused) {
-        if (reached.waiting.size() < 64) reached.waiting.push_back(bytes);  // what its socket holds
-      } else turn(reached, &bytes);
+        if (reached.waiting.size() < 64)
+          reached.waiting.push_back(bytes);  // what its socket holds
+      } else
+        turn(reached, &bytes);
     });
   }
 }
 
 bool Gossip::checkClaim(Host& its, int of) {
-  if (of < 0) return true;
+  if (of < 0)
+    return true;
   const Claim& claim = its.core->claimOf(of);
   Claim& held = its.held[size_t(of)];
-  if (claim < held) return breaks(its, "what it holds of n" + std::to_string(of) + " went back");
+  if (claim < held)
+    return breaks(its, "what it holds of n" + std::to_string(of) + " went back");
   held = claim;
   const Life& most = host(of).highest;  // a figure has one writer: nobody else makes it greater
   if (claim.instance <= most.instance &&
@@ -181,16 +204,20 @@
 // way is found within N/64 turns of that member, about 3 s among 2,400. What went back and rose
 // again in between, by no row and no event, is not seen.
 void Gossip::check(Host& its) {
-  if (!broken_.empty()) return;
+  if (!broken_.empty())
+    return;
   const Life& life = its.core->life();
   Host& named = host(its.member);
-  if (life.instance > named.highest.instance) named.highest = life;
+  if (life.instance > named.highest.instance)
+    named.highest = life;
   else if (life.instance == named.highest.instance)
     named.highest.incarnation = std::max(named.highest.incarnation, life.incarnation);
   for (int of : touched_)
-    if (!checkClaim(its, of)) return;
+    if (!checkClaim(its, of))
+      return;
   for (size_t i = 0; i < std::min(kLooked, hosts_.size()); ++i, its.next = (its.next + 1) % hosts_.size())
-    if (!checkClaim(its, int(its.next))) return;
+    if (!checkClaim(its, int(its.next)))
+      return;
   const Claim& own = its.core->claimOf(its.member);
   if (!its.core->aside() && own.state != State::alive && own.state != State::left)
     breaks(its, "it holds itself to be " + std::string(nameOf(own.state)));
@@ -199,7 +226,8 @@
 void Gossip::run(double until) {
   bool reached = false;
   events_.at(until, [&reached] { reached = true; });
-  while (!reached && events_.next(now_)) {}
+  while (!reached && events_.next(now_)) {
+  }
 }
 
 // Every pair is looked at before it is true. The search begins with the last pair that did not agree, which
@@ -207,9 +235,11 @@
 bool Gossip::agreed() const {
   for (size_t i = 0, n = hosts_.size(); i < n; ++i, wrongHost_ = (wrongHost_ + 1) % n) {
     auto& its = hosts_[wrongHost_];
-    if (!its.core || its.paused || its.core->aside()) continue;
+    if (!its.core || its.paused || its.core->aside())
+      continue;
     for (size_t j = 0; j < n; ++j, wrongOf_ = (wrongOf_ + 1) % n)
-      if (!held(its, int(wrongOf_))) return false;
+      if (!held(its, int(wrongOf_)))
+        return false;
   }
   return true;
 }
@@ -218,14 +248,16 @@
   double pairs = 0, wrong = 0;
   for (auto& its : hosts_)
     if (its.core && !its.paused && !its.core->aside())
-      for (auto& other : hosts_) ++pairs, wrong += !held(its, other.member);
+      for (auto& other : hosts_)
+        ++pairs, wrong += !held(its, other.member);
   return pairs > 0 ? wrong / pairs : 0;
 }
 
 double Gossip::untilAgreed(double most) {
   double began = now_;
   while (now_ < began + most) {
-    if (agreed()) return now_ - began;
+    if (agreed())
+      return now_ - began;
     run(now_ + 0.02);
   }
   return -1;
--- a/src/lab/hollow.cpp
+++ b/src/lab/hollow.cpp
@@ -15,7 +15,8 @@
 
 void endWith(pid_t parent, unsigned seconds) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (getppid() != parent) _exit(0);
+  if (getppid() != parent)
+    _exit(0);
   alarm(seconds);
 }
 
@@ -25,7 +26,8 @@
     throw std::system_error(errno, std::generic_category(), "socketpair");
   pid_t parent = getpid();
   pid_ = fork();
-  if (pid_ < 0) throw std::system_error(errno, std::generic_category(), "fork");
+  if (pid_ < 0)
+    throw std::system_error(errno, std::generic_category(), "fork");
   if (pid_ == 0) {
     endWith(parent, 1800);
     ::close(ends[0]);
--- a/src/lab/hollow_change_log.cpp
+++ b/src/lab/hollow_change_log.cpp
@@ -10,7 +10,8 @@
 namespace {
 
 void big(std::string& bytes, uint64_t value, int width) {
-  for (int i = width - 1; i >= 0; --i) bytes += char(value >> (8 * i) & 0xff);
+  for (int i = width - 1; i >= 0; --i)
+    bytes += char(value >> (8 * i) & 0xff);
 }
 
 }  // namespace
@@ -54,17 +55,21 @@
   };
   auto flush = [&](int fd, Follower& to) {
     ssize_t gone = to.out.empty() ? 0 : send(fd, to.out.data(), to.out.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (gone > 0) to.out.erase(0, size_t(gone)), counts.bytesOut += uint64_t(gone);
+    if (gone > 0)
+      to.out.erase(0, size_t(gone)), counts.bytesOut += uint64_t(gone);
     loop.want(fd, to.out.empty() ? EPOLLIN : EPOLLIN | EPOLLOUT);
   };
   auto tell = [&](const std::string& bytes) {
-    if (silent) return;
+    if (silent)
+      return;
     for (auto& [fd, to] : followers)
-      if (to.resumed) to.out += bytes, flush(fd, to);
+      if (to.resumed)
+        to.out += bytes, flush(fd, to);
   };
   auto change = [&](const std::vector<uint32_t>& ids) {
     std::string payload;
-    for (uint32_t id : ids) record(payload, id);
+    for (uint32_t id : ids)
+      record(payload, id);
     ++counts.number, ++counts.events, counts.rows += ids.size();
     tell(frame(2, payload));
     counts.toldAt = secondsNow();
@@ -72,7 +77,8 @@
   auto whole = [&] {
     std::string payload;
     payload.reserve(27 * rows.size());
-    for (uint32_t id = 0; id < rows.size(); ++id) record(payload, id);
+    for (uint32_t id = 0; id < rows.size(); ++id)
+      record(payload, id);
     return frame(1, payload);
   };
   auto put = [&](uint32_t id, uint8_t state) {
@@ -97,7 +103,8 @@
         }
         if (!from.resumed && from.in.size() >= 8 && !silent) {
           uint64_t number = 0;
-          for (int i = 0; i < 8; ++i) number = number << 8 | static_cast<unsigned char>(from.in[size_t(i)]);
+          for (int i = 0; i < 8; ++i)
+            number = number << 8 | static_cast<unsigned char>(from.in[size_t(i)]);
           from.resumed = true;
           from.out += number == counts.number ? frame(0, "") : whole();
         }
@@ -107,15 +114,20 @@
   });
   loop.heed(orders, [&](const std::string& word, std::istringstream& rest) {
     uint32_t id = 0, state = 0;
-    if (word == "speed") rest >> speed, owed = restartsOwed = 0;
-    if (word == "row" && rest >> id >> state) put(id, uint8_t(state)), change({id});
+    if (word == "speed")
+      rest >> speed, owed = restartsOwed = 0;
+    if (word == "row" && rest >> id >> state)
+      put(id, uint8_t(state)), change({id});
     if (Burst burst{}; word == "zone" && rest >> burst.zone >> burst.zones >> burst.state >> burst.lasts)
       burst.next = burst.zone, burst.began = secondsNow(), bursts.push_back(burst);
-    if (word != "silent") return;
+    if (word != "silent")
+      return;
     rest >> silent;
-    if (silent) return;
+    if (silent)
+      return;
     ++counts.number, ++counts.events, counts.rows += rows.size();  // it comes back, and tells all
-    for (auto& [fd, to] : followers) to.resumed = to.in.size() >= 8;
+    for (auto& [fd, to] : followers)
+      to.resumed = to.in.size() >= 8;
     tell(whole());
     counts.toldAt = secondsNow();
   });
@@ -124,7 +136,8 @@
     owed += span * speed * (kDaysChanges - 2 * kDaysRestarts), restartsOwed += span * speed * kDaysRestarts;
     for (; restartsOwed >= 1; --restartsOwed) {  // gone, and back 5 s later, or sooner where days are short
       uint32_t id = chance.next() % plan.engines;
-      if (rows[id].state != 0) continue;
+      if (rows[id].state != 0)
+        continue;
       put(id, 2), change({id});
       later[now + 5 / std::max(1.0, speed / 4)] = {id, 0};
     }
@@ -136,15 +149,18 @@
       put(later.begin()->second.first, later.begin()->second.second), change({later.begin()->second.first});
     for (auto& burst : bursts) {
       uint32_t each = (plan.engines / burst.zones + 20) / 20 * burst.zones;
-      if (burst.lasts > 0 && now < burst.began + burst.lasts * double(burst.next / each) / 20) continue;
+      if (burst.lasts > 0 && now < burst.began + burst.lasts * double(burst.next / each) / 20)
+        continue;
       std::vector<uint32_t> ids;
       for (uint32_t end = burst.next + each; burst.next < std::min(end, plan.engines);
            burst.next += burst.zones)
         put(burst.next, uint8_t(burst.state)), ids.push_back(burst.next);
-      if (!ids.empty()) change(ids);
+      if (!ids.empty())
+        change(ids);
     }
     std::erase_if(bursts, [&](const Burst& burst) { return burst.next >= plan.engines; });
-    if (now >= beatAt) tell(frame(0, "")), beatAt = now + 1;
+    if (now >= beatAt)
+      tell(frame(0, "")), beatAt = now + 1;
   });
 }
 
--- a/src/lab/hollow_clients.cpp
+++ b/src/lab/hollow_clients.cpp
@@ -11,7 +11,8 @@
 
 double latencyAt(const ClientCounts& counts, double part) {
   uint64_t all = 0, sum = 0;
-  for (auto& count : counts.latency) all += count;
+  for (auto& count : counts.latency)
+    all += count;
   for (size_t i = 0; i < counts.latency.size(); ++i)
     if ((sum += counts.latency[i]) > 0 && double(sum) >= part * double(all))
       return 1e-5 * std::pow(10, double(i) / kLatencySteps);
@@ -36,20 +37,27 @@
   uint64_t number = uint64_t(getpid()) << 32, tables = 512;
 
   auto close = [&](const Held& line) {
-    if (std::exchange(line->over, true)) return;
-    if (line->idle) --idleHeld, counts.broken += line->up, counts.idle = idleHeld;
-    else if (line->asked) ++counts.lost;
-    if (!line->up) --coming;
+    if (std::exchange(line->over, true))
+      return;
+    if (line->idle)
+      --idleHeld, counts.broken += line->up, counts.idle = idleHeld;
+    else if (line->asked)
+      ++counts.lost;
+    if (!line->up)
+      --coming;
     loop.close(line->fd);
   };
   auto request = [&](const Held& line, std::string bytes) {
     line->asked = true, line->at = secondsNow();
-    if (!line->up) line->out = std::move(bytes);
-    else if (!put(line->fd, bytes)) close(line);
+    if (!line->up)
+      line->out = std::move(bytes);
+    else if (!put(line->fd, bytes))
+      close(line);
   };
   auto heard = [&](const Held& line) {
     auto status = takeAnswer(line->in);
-    if (!status) return;
+    if (!status)
+      return;
     if (!std::exchange(line->asked, false) || !line->in.empty()) {
       ++counts.wrong;
       return close(line);
@@ -64,28 +72,33 @@
       ++counts.answered;
       double step = kLatencySteps * std::log10(std::max(took, 1e-5) / 1e-5);
       ++counts.latency[std::min(counts.latency.size() - 1, size_t(step))];
-    } else ++(*status == "503" || *status == "429" ? counts.shed : counts.failed);
+    } else
+      ++(*status == "503" || *status == "429" ? counts.shed : counts.failed);
     free.push_back(line);
   };
   auto connect = [&](bool idle) {
     auto line = std::make_shared<Line>();
     line->idle = idle, line->at = secondsNow(), ++coming;
     line->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (idle) counts.idle = ++idleHeld;
+    if (idle)
+      counts.idle = ++idleHeld;
     promptly(line->fd);
     ::connect(line->fd, reinterpret_cast<sockaddr*>(&to), sizeof to);
     loop.watch(
         line->fd,
         [&, line](uint32_t events) {
-          if (line->over) return;
+          if (line->over)
+            return;
           if (!line->up && events & EPOLLOUT && !(events & (EPOLLERR | EPOLLHUP))) {
             line->up = true, --coming;
             loop.want(line->fd, EPOLLIN);
-            if (!line->out.empty() && !put(line->fd, std::exchange(line->out, {}))) return close(line);
+            if (!line->out.empty() && !put(line->fd, std::exchange(line->out, {})))
+              return close(line);
           }
           bool open = readAll(line->fd, line->in);
           heard(line);
-          if (!open && !line->over) close(line);
+          if (!open && !line->over)
+            close(line);
         },
         EPOLLIN | EPOLLOUT);
     return line;
@@ -93,9 +106,12 @@
   const std::string check = "GET /check HTTP/1.1\r\nHost: lab\r\n\r\n";
   auto ask = [&] {
     Held line;
-    while (!free.empty() && free.back()->over) free.pop_back();
-    if (free.empty()) line = connect(false);
-    else line = free.back(), free.pop_back();
+    while (!free.empty() && free.back()->over)
+      free.pop_back();
+    if (free.empty())
+      line = connect(false);
+    else
+      line = free.back(), free.pop_back();
     std::string body = "SELECT a FROM t_" + std::to_string(++number % tables) + ".x";
     char head[320];
     int size =
@@ -108,25 +124,33 @@
     request(line, std::string(head, size_t(size)) + body);
   };
   loop.heed(orders, [&](const std::string& word, std::istringstream& rest) {
-    if (word == "idle") rest >> idleWanted;
-    if (word == "rate") rest >> rate >> tables, owed = 0;
+    if (word == "idle")
+      rest >> idleWanted;
+    if (word == "rate")
+      rest >> rate >> tables, owed = 0;
   });
   loop.run([&](double now) {
     owed += (now - std::exchange(last, now)) * rate;
-    for (; owed >= 1; --owed) ask();
+    for (; owed >= 1; --owed)
+      ask();
     for (; !asked.empty() &&
            (!asked.front()->asked || asked.front()->over || now > asked.front()->at + kWait + kLate);
          asked.pop_front())
-      if (asked.front()->asked && !asked.front()->over) close(asked.front());  // no answer in time: lost
+      if (asked.front()->asked && !asked.front()->over)
+        close(asked.front());  // no answer in time: lost
     while (!free.empty() && (free.front()->over || now > free.front()->at + kIdle)) {
-      if (!free.front()->over) close(free.front());
+      if (!free.front()->over)
+        close(free.front());
       free.pop_front();
     }
-    while (idleHeld < idleWanted && coming < kMostComing) request(connect(true), check);
+    while (idleHeld < idleWanted && coming < kMostComing)
+      request(connect(true), check);
     for (; !checks.empty() && now > checks.front()->at + kCheckEach; checks.pop_front())
-      if (!checks.front()->over) request(checks.front(), check);
+      if (!checks.front()->over)
+        request(checks.front(), check);
     for (; idleHeld > idleWanted && !checks.empty(); checks.pop_front())
-      if (!checks.front()->over) checks.front()->up = false, ++coming, close(checks.front());  // our own wish
+      if (!checks.front()->over)
+        checks.front()->up = false, ++coming, close(checks.front());  // our own wish
   });
 }
 
--- a/src/lab/hollow_engines.cpp
+++ b/src/lab/hollow_engines.cpp
@@ -27,7 +27,8 @@
   std::deque<Due> due;
   auto close = [&](int fd, bool hard = false) {
     auto found = lines.find(fd);
-    if (found == lines.end()) return;
+    if (found == lines.end())
+      return;
     --counts.open, --counts.connections[found->second->engine];
     lines.erase(found);
     loop.close(fd, hard);
@@ -41,19 +42,23 @@
   auto heed = [&](int fd, const std::shared_ptr<Line>& line) {  // false: it is over
     while (true) {
       size_t end = line->in.find("\r\n");
-      if (end == std::string::npos) return true;
+      if (end == std::string::npos)
+        return true;
       std::istringstream words(line->in.substr(0, end));
       std::string verb, id, fields;
       size_t length = 0;
       words >> verb >> id;
       if (verb == "GET") {
         words >> fields >> length;
-        if (line->in.size() < end + 4 + length) return true;
+        if (line->in.size() < end + 4 + length)
+          return true;
         length += 2;
         ++counts.commands, ++counts.sends[line->engine];
         counts.lastSend[line->engine] = secondsNow();
-        if (work > 0) line->open.insert(id), due.push_back({secondsNow() + work, fd, line, id});
-        else if (!answer(fd, id)) return false;
+        if (work > 0)
+          line->open.insert(id), due.push_back({secondsNow() + work, fd, line, id});
+        else if (!answer(fd, id))
+          return false;
       } else if (verb == "DROP") {
         ++counts.drops, line->open.erase(id);
       } else if (verb == "PING" || verb == "LOAD") {
@@ -80,20 +85,27 @@
       line->engine = engine;
       lines[fd] = line, ++counts.open, ++counts.connections[engine];
       loop.watch(fd, [&, fd, line](uint32_t) {
-        if (!readAll(fd, line->in) || !heed(fd, line)) close(fd);
+        if (!readAll(fd, line->in) || !heed(fd, line))
+          close(fd);
       });
     }
   });
   loop.heed(orders, [&](const std::string& word, std::istringstream& rest) {
-    if (word == "work") rest >> work;
+    if (word == "work")
+      rest >> work;
     uint32_t zone = 0, zones = 1, is = 0;
-    if (word != "gone" || !(rest >> zone >> zones >> is)) return;
-    for (uint32_t i = zone; i < kMostEngines; i += zones) gone[i] = is;
-    if (!is) return;
+    if (word != "gone" || !(rest >> zone >> zones >> is))
+      return;
+    for (uint32_t i = zone; i < kMostEngines; i += zones)
+      gone[i] = is;
+    if (!is)
+      return;
     std::vector<int> over;
     for (auto& [fd, line] : lines)
-      if (gone[line->engine]) over.push_back(fd);
-    for (int fd : over) close(fd, true);
+      if (gone[line->engine])
+        over.push_back(fd);
+    for (int fd : over)
+      close(fd, true);
   });
   loop.run([&](double now) {
     for (; !due.empty() && due.front().at <= now; due.pop_front()) {
--- a/src/lab/hollow_loop.h
+++ b/src/lab/hollow_loop.h
@@ -34,7 +34,8 @@
     epoll_event event{events, {}};
     event.data.fd = fd;
     epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
-    if (size_t(fd) >= acts_.size()) acts_.resize(size_t(fd) + 1);
+    if (size_t(fd) >= acts_.size())
+      acts_.resize(size_t(fd) + 1);
     acts_[size_t(fd)] = std::make_shared<Act>(std::move(act));
   }
   void want(int fd, uint32_t events) {
@@ -44,9 +45,11 @@
   }
   void close(int fd, bool hard = false) {
     linger at{1, 0};
-    if (hard) setsockopt(fd, SOL_SOCKET, SO_LINGER, &at, sizeof at);
+    if (hard)
+      setsockopt(fd, SOL_SOCKET, SO_LINGER, &at, sizeof at);
     ::close(fd);
-    if (size_t(fd) < acts_.size()) acts_[size_t(fd)].reset();
+    if (size_t(fd) < acts_.size())
+      acts_[size_t(fd)].reset();
   }
   [[noreturn]] void run(const std::function<void(double now)>& tick, double each = kTick) {
     epoll_event events[256];
@@ -54,8 +57,10 @@
       int wait = std::max(0, int(std::ceil((next - secondsNow()) * 1e3)));
       int count = epoll_wait(epoll_, events, 256, wait);
       for (int i = 0; i < count; ++i)
-        if (auto act = acts_[size_t(events[i].data.fd)]) (*act)(events[i].events);
-      if (double now = secondsNow(); now >= next) tick(now), next = now + each;
+        if (auto act = acts_[size_t(events[i].data.fd)])
+          (*act)(events[i].events);
+      if (double now = secondsNow(); now >= next)
+        tick(now), next = now + each;
     }
   }
   // Lines of orders, each a word and its rest.
@@ -63,7 +68,8 @@
     watch(orders, [orders, act = std::move(act), kept = std::string()](uint32_t) mutable {
       char part[512];
       ssize_t got = ::read(orders, part, sizeof part);
-      if (got <= 0) _exit(0);
+      if (got <= 0)
+        _exit(0);
       kept.append(part, size_t(got));
       for (size_t end; (end = kept.find('\n')) != std::string::npos; kept.erase(0, end + 1)) {
         std::istringstream line(kept.substr(0, end));
@@ -83,9 +89,11 @@
 inline bool readAll(int fd, std::string& bytes) {
   char part[16384];
   for (ssize_t got; (got = recv(fd, part, sizeof part, MSG_DONTWAIT)) != 0;) {
-    if (got < 0) return errno == EAGAIN || errno == EINTR;
+    if (got < 0)
+      return errno == EAGAIN || errno == EINTR;
     bytes.append(part, size_t(got));
-    if (size_t(got) < sizeof part) return true;
+    if (size_t(got) < sizeof part)
+      return true;
   }
   return false;
 }
--- a/src/lab/lending.cpp
+++ b/src/lab/lending.cpp
@@ -16,7 +16,8 @@
     host.offset = chance_.between(-1e6, 1e6), host.speed = 1 + chance_.between(-drift, drift);
     host.wants.resize(terms_.amounts.size());
   }
-  for (int i = 0; i < terms_.members; ++i) start(i);
+  for (int i = 0; i < terms_.members; ++i)
+    start(i);
 }
 
 void Lending::start(int member) {
@@ -24,7 +25,8 @@
   ++lives_;
   host.loans = std::make_unique<Loans>(terms_, member, lives_, lives_, clock(host));
   host.paused = false, host.waiting.clear();
-  for (size_t i = 0; i < host.wants.size(); ++i) host.loans->want(i, host.wants[i]);
+  for (size_t i = 0; i < host.wants.size(); ++i)
+    host.loans->want(i, host.wants[i]);
   turn(member);
 }
 
@@ -35,24 +37,29 @@
 
 void Lending::pause(int member, bool is) {
   Host& host = hosts_[size_t(member)];
-  if (!host.loans || host.paused == is) return;
+  if (!host.loans || host.paused == is)
+    return;
   host.paused = is, ++host.version;
-  if (is) return;
-  for (auto& letter : std::exchange(host.waiting, {})) host.loans->hear(clock(host), letter);
+  if (is)
+    return;
+  for (auto& letter : std::exchange(host.waiting, {}))
+    host.loans->hear(clock(host), letter);
   turn(member);
 }
 
 void Lending::want(int member, size_t amount, double units) {
   Host& host = hosts_[size_t(member)];
   host.wants[amount] = units;
-  if (host.loans) host.loans->want(amount, units);
+  if (host.loans)
+    host.loans->want(amount, units);
 }
 
 void Lending::part(int from, int to, bool is) {
   auto inside = [&](int one) { return one >= from && one < to; };
   for (int a = 0; a < terms_.members; ++a)
     for (int b = 0; b < terms_.members; ++b)
-      if (inside(a) != inside(b)) cut(a, b, is);
+      if (inside(a) != inside(b))
+        cut(a, b, is);
 }
 
 void Lending::turn(int member) {
@@ -62,12 +69,15 @@
   for (auto& letter : host.loans->out()) {
     ++letters_;
     for (int copy = 1 + (chance_.unit() < copies); copy > 0; --copy) {
-      if (chance_.unit() < loss) continue;
+      if (chance_.unit() < loss)
+        continue;
       double way = chance_.between(least, most) + (chance_.unit() < lateShare ? late * chance_.unit() : 0);
       events_.at(now_ + way, [this, letter] {
         Host& to = hosts_[size_t(letter.to)];
-        if (cut_[size_t(letter.from)][size_t(letter.to)] || !to.loans) return;
-        if (to.paused) return void(to.waiting.size() < 64 ? to.waiting.push_back(letter) : void());
+        if (cut_[size_t(letter.from)][size_t(letter.to)] || !to.loans)
+          return;
+        if (to.paused)
+          return void(to.waiting.size() < 64 ? to.waiting.push_back(letter) : void());
         to.loans->hear(clock(to), letter);
         turn(letter.to);
       });
@@ -76,7 +86,8 @@
   uint64_t version = ++host.version;
   double wakes = (host.loans->wakes() - host.offset) / host.speed;
   events_.at(std::max(wakes, now_ + 1e-4), [this, member, version] {
-    if (hosts_[size_t(member)].version == version) turn(member);
+    if (hosts_[size_t(member)].version == version)
+      turn(member);
   });
 }
 
@@ -87,19 +98,22 @@
 
 double Lending::usable(size_t amount) const {
   double all = 0;
-  for (int i = 0; i < terms_.members; ++i) all += usable(i, amount);
+  for (int i = 0; i < terms_.members; ++i)
+    all += usable(i, amount);
   return all;
 }
 
 double Lending::used(size_t amount) const {
   double all = 0;
   for (int i = 0; i < terms_.members; ++i)
-    if (runs(i)) all += std::min(usable(i, amount), hosts_[size_t(i)].wants[amount]);
+    if (runs(i))
+      all += std::min(usable(i, amount), hosts_[size_t(i)].wants[amount]);
   return all;
 }
 
 void Lending::check() {
-  if (!broken_.empty()) return;
+  if (!broken_.empty())
+    return;
   for (size_t i = 0; i < terms_.amounts.size(); ++i)
     if (double all = usable(i); all > terms_.amounts[i] * (1 + 1e-9))
       broken_ = "at " + std::to_string(now_) + ": " + std::to_string(all) + " of " +
@@ -109,7 +123,8 @@
 void Lending::run(double until) {
   bool reached = false;
   events_.at(until, [&reached] { reached = true; });
-  while (!reached && events_.next(now_)) {}
+  while (!reached && events_.next(now_)) {
+  }
 }
 
 }  // namespace elmcleat::lab
--- a/src/lab/members_scale.cpp
+++ b/src/lab/members_scale.cpp
@@ -60,9 +60,11 @@
       continue;
     }
     int who = int(fleet.chance().next() % uint32_t(size));
-    if (fleet.runs(who)) fleet.leave(who), away.push_back({fleet.now() + scene.awayTime, who});
+    if (fleet.runs(who))
+      fleet.leave(who), away.push_back({fleet.now() + scene.awayTime, who});
     next += each;
-    if (fleet.now() >= sampled + 5) sampled = fleet.now(), meter.sample(fleet.heldWrongly());
+    if (fleet.now() >= sampled + 5)
+      sampled = fleet.now(), meter.sample(fleet.heldWrongly());
   }
 }
 
@@ -88,7 +90,8 @@
     played.phases.push_back(meter.close(kAfter));
   } else {
     fleet.startAll();
-    if (fleet.untilAgreed(60) < 0) played.broken = "no agreement within 60 s of the start";
+    if (fleet.untilAgreed(60) < 0)
+      played.broken = "no agreement within 60 s of the start";
   }
   fleet.run(fleet.now() + kSettle);
   Meter first(fleet, size, scene.name);
@@ -98,10 +101,12 @@
       break;
     case Kind::lost: {
       int count = std::max(1, int(std::lround(scene.part * size)));
-      for (int i = 1; i <= count; ++i) fleet.kill(i);
+      for (int i = 1; i <= count; ++i)
+        fleet.kill(i);
       first.agrees(scene.lasts), played.phases.push_back(first.close(scene.lasts));
       Meter back(fleet, size, scene.name + ", back");
-      for (int i = 1; i <= count; ++i) fleet.start(i);
+      for (int i = 1; i <= count; ++i)
+        fleet.start(i);
       back.agrees(kAfter), played.phases.push_back(back.close(kAfter));
       break;
     }
@@ -109,7 +114,8 @@
       auto cut = [&](bool is) {
         for (int a = 0; a < size; ++a)
           for (int b = 0; b < size; ++b)
-            if (fleet.regionOf(a) != fleet.regionOf(b)) fleet.cut(a, b, is);
+            if (fleet.regionOf(a) != fleet.regionOf(b))
+              fleet.cut(a, b, is);
       };
       cut(true), fleet.run(fleet.now() + scene.lasts);
       first.sample(heldOfOtherRegions(fleet, size));
@@ -126,7 +132,8 @@
       break;
     }
   }
-  if (played.broken.empty()) played.broken = fleet.broken();
+  if (played.broken.empty())
+    played.broken = fleet.broken();
   return played;
 }
 
@@ -142,7 +149,8 @@
   Core core(plan, 0, {5, 1}, 1, 0);
   Message message;
   message.kind = Kind::rows, message.from = 1, message.to = 0, message.instance = 5, message.sequence = 1;
-  for (int i = 1; i < size; ++i) message.rows.push_back({i, {5, 1, State::alive}, kNobody});
+  for (int i = 1; i < size; ++i)
+    message.rows.push_back({i, {5, 1, State::alive}, kNobody});
   core.hear(0, message), core.tick(1), core.out(), core.happened();
   message = {};
   return inUse() - before;
@@ -156,7 +164,8 @@
   MembersPlan plan;
   plan.sizes = document["sizes"].get<std::vector<int>>(),
   plan.seeds = document["seeds"].get<std::vector<int>>();
-  if (plan.seeds.size() != plan.sizes.size()) throw Faults({path + ": seeds: one number a size is needed"});
+  if (plan.seeds.size() != plan.sizes.size())
+    throw Faults({path + ": seeds: one number a size is needed"});
   plan.regions = file.get("regions", plan.regions), plan.target = file.get("target", plan.target);
   for (auto& row : file.rows("scenes")) {
     using Kind = MembersScene::Kind;
@@ -206,10 +215,12 @@
       Figure figure;
       figure.name = column.name, figure.variant = name, figure.unit = column.unit, figure.xName = "members";
       figure.target = plan.target;
-      if (column.limit) figure.limit = plan.*column.limit;
+      if (column.limit)
+        figure.limit = plan.*column.limit;
       for (auto& [size, phases] : bySize) {
         std::vector<double> all;
-        for (auto& phase : phases) all.push_back(phase.*column.of);
+        for (auto& phase : phases)
+          all.push_back(phase.*column.of);
         if (std::ranges::count_if(all, [](double one) { return one < 0; })) {
           file.missing.push_back({figure.name, name, "no agreement within the part", double(size)});
           continue;
@@ -217,7 +228,8 @@
         figure.take(size, std::move(all));
       }
       bool told = std::ranges::any_of(figure.ys, [](double one) { return one > 0; });
-      if (told || column.of == &Phase::wrongDowns) file.figures.push_back(std::move(figure));
+      if (told || column.of == &Phase::wrongDowns)
+        file.figures.push_back(std::move(figure));
     }
 }
 
@@ -233,10 +245,12 @@
     }
     for (size_t i = 0; i < old.xs.size(); ++i) {
       auto place = std::ranges::lower_bound(figure->xs, old.xs[i]) - figure->xs.begin();
-      if (size_t(place) < figure->xs.size() && figure->xs[size_t(place)] == old.xs[i]) continue;
+      if (size_t(place) < figure->xs.size() && figure->xs[size_t(place)] == old.xs[i])
+        continue;
       figure->xs.insert(figure->xs.begin() + place, old.xs[i]);
       figure->ys.insert(figure->ys.begin() + place, old.ys[i]);
-      if (!old.repeats.empty()) figure->repeats.insert(figure->repeats.begin() + place, old.repeats[i]);
+      if (!old.repeats.empty())
+        figure->repeats.insert(figure->repeats.begin() + place, old.repeats[i]);
     }
   }
   file.missing.insert(file.missing.end(), earlier.missing.begin(), earlier.missing.end());
@@ -256,7 +270,8 @@
                 double(plan.target),
                 plan.limitMb,
                 "a core that has heard of all, and the wire's names"};
-  for (int size : plan.sizes) memory.xs.push_back(size), memory.ys.push_back(bytesOfCore(size) / 1e6);
+  for (int size : plan.sizes)
+    memory.xs.push_back(size), memory.ys.push_back(bytesOfCore(size) / 1e6);
   base.figures.push_back(memory);
 
   std::vector<Job> jobs;
@@ -275,7 +290,8 @@
       Job job{};
       {
         std::lock_guard held(lock);
-        if (next == jobs.size()) return;
+        if (next == jobs.size())
+          return;
         job = jobs[next++];
       }
       Played played = play(*job.scene, job.size, plan.regions, uint64_t(job.seed), plan.target);
@@ -286,16 +302,19 @@
         base.missing.push_back({"members", job.scene->name, played.broken, double(job.size)});
         line += ": BROKEN " + played.broken;
       } else
-        for (auto& phase : played.phases) results[phase.name][job.size].push_back(phase);
+        for (auto& phase : played.phases)
+          results[phase.name][job.size].push_back(phase);
       file = base;
       addFigures(plan, results, file);
       done(file, line);
     }
   };
   std::vector<std::thread> others;
-  for (int i = 1; i < threads; ++i) others.emplace_back(work);
+  for (int i = 1; i < threads; ++i)
+    others.emplace_back(work);
   work();
-  for (auto& other : others) other.join();
+  for (auto& other : others)
+    other.join();
   return file;
 }
 
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -12,9 +12,12 @@
 
 std::string bounds(const Verdict& verdict) {
   std::ostringstream text;
-  if (verdict.least) text << "at least " << *verdict.least;
-  if (verdict.least && verdict.most) text << ", ";
-  if (verdict.most) text << "at most " << *verdict.most;
+  if (verdict.least)
+    text << "at least " << *verdict.least;
+  if (verdict.least && verdict.most)
+    text << ", ";
+  if (verdict.most)
+    text << "at most " << *verdict.most;
   return text.str();
 }
 
@@ -34,16 +37,20 @@
   for (auto& run : runs)
     for (auto& [name, value] : run.figures) {
       auto& [sum, count] = sums[(run.variant.empty() ? "" : run.variant + ":") + name];
-      if (name == "rules" || name.starts_with("held.most")) sum = std::max(sum, value), count = 1;
-      else sum += value, count += 1;
+      if (name == "rules" || name.starts_with("held.most"))
+        sum = std::max(sum, value), count = 1;
+      else
+        sum += value, count += 1;
     }
   std::map<std::string, double> figures;
-  for (auto& [name, sum] : sums) figures[name] = sum.first / sum.second;
+  for (auto& [name, sum] : sums)
+    figures[name] = sum.first / sum.second;
   if (auto whole = figures.find("whole:benefit"); whole != figures.end())
     figures["gained"] = figures["benefit"] - whole->second;
   for (auto& team : scene.teams) {
     auto calm = figures.find("calm:benefit." + team.name);
-    if (calm == figures.end()) continue;
+    if (calm == figures.end())
+      continue;
     figures["lost." + team.name] = calm->second - figures["benefit." + team.name];
     if (figures.contains("plain:benefit." + team.name))
       figures["plain:lost." + team.name] = calm->second - figures["plain:benefit." + team.name];
@@ -55,7 +62,8 @@
   std::vector<Verdict> verdicts;
   for (auto& expect : scene.expect) {
     Verdict verdict{expect.figure, NAN, expect.least, expect.most, false};
-    if (auto found = figures.find(expect.figure); found != figures.end()) verdict.value = found->second;
+    if (auto found = figures.find(expect.figure); found != figures.end())
+      verdict.value = found->second;
     verdict.met = !std::isnan(verdict.value) && verdict.value >= verdict.least.value_or(-HUGE_VAL) &&
                   verdict.value <= verdict.most.value_or(HUGE_VAL);
     verdicts.push_back(verdict);
@@ -69,18 +77,23 @@
   std::set<std::string> names;
   std::vector<std::string> variants;
   for (auto& run : runs) {
-    if (std::ranges::find(variants, run.variant) == variants.end()) variants.push_back(run.variant);
-    for (auto& [name, value] : run.figures) names.insert(name);
+    if (std::ranges::find(variants, run.variant) == variants.end())
+      variants.push_back(run.variant);
+    for (auto& [name, value] : run.figures)
+      names.insert(name);
   }
   to << std::left << std::setw(26) << "figure";
-  for (auto& variant : variants) to << std::right << std::setw(12) << (variant.empty() ? "module" : variant);
+  for (auto& variant : variants)
+    to << std::right << std::setw(12) << (variant.empty() ? "module" : variant);
   to << '\n' << std::fixed << std::setprecision(3);
   for (auto& name : names) {
     to << std::left << std::setw(26) << name << std::right;
     for (auto& variant : variants) {
       auto found = figures.find((variant.empty() ? "" : variant + ":") + name);
-      if (found == figures.end()) to << std::setw(12) << "-";
-      else to << std::setw(12) << found->second;
+      if (found == figures.end())
+        to << std::setw(12) << "-";
+      else
+        to << std::setw(12) << found->second;
     }
     to << '\n';
   }
@@ -112,7 +125,8 @@
   std::set<std::string> drawn;
   for (auto& run : runs) {
     std::string name = run.variant.empty() ? "module" : run.variant;
-    if (!drawn.insert(name).second) continue;  // the first seed of each
+    if (!drawn.insert(name).second)
+      continue;  // the first seed of each
     std::ofstream data(folder + "/" + name + ".dat");
     for (size_t t = 0; t + 1 < run.record.seconds.size(); ++t) {
       auto& second = run.record.seconds[t];
@@ -134,7 +148,8 @@
              "set title '" + name + ": commands held; part of cores in use'\nset y2tics\nplot '" + file +
                  "' using 1:2 with lines title 'held', '' using 1:3 axes x1y2 with lines title 'in use'\n"))
       page += "<img src='" + name + "-held.svg'>";
-    if (run.record.waits.empty()) continue;
+    if (run.record.waits.empty())
+      continue;
     std::ofstream waits(folder + "/" + name + "-waits.dat");
     for (auto& wait : run.record.waits)
       if (wait.seen > 0.02)
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -26,7 +26,8 @@
   for (auto& run : plan.runs)
     for (int engines : run.engines)
       for (auto& [variant, gateway] : plan.variants) {
-        if (!run.variants.empty() && std::ranges::find(run.variants, variant) == run.variants.end()) continue;
+        if (!run.variants.empty() && std::ranges::find(run.variants, variant) == run.variants.end())
+          continue;
         found.variant = variant;
         double began = secondsNow();
         auto missing = [&](const std::string& what, const std::exception& fault) {
--- a/src/lab/scale_bounds.cpp
+++ b/src/lab/scale_bounds.cpp
@@ -17,7 +17,8 @@
   double sum = 0, ns = 0;
   std::error_code gone;
   for (auto& task : std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/task", gone))
-    if (std::ifstream(task.path() / "schedstat") >> ns) sum += ns / 1e9;
+    if (std::ifstream(task.path() / "schedstat") >> ns)
+      sum += ns / 1e9;
   return sum;
 }
 
@@ -27,10 +28,14 @@
   usage.cpu = cpuOf(pid);
   std::ifstream file(base + "/status");
   for (double value = 0; file >> word;) {
-    if (word == "VmRSS:" && file >> value) usage.rss = value / 1024;
-    if (word == "VmHWM:" && file >> value) usage.peak = value / 1024;
-    if (word == "RssAnon:" && file >> value) usage.anonymous = value / 1024;
-    if (word == "Threads:" && file >> value) usage.threads = value;
+    if (word == "VmRSS:" && file >> value)
+      usage.rss = value / 1024;
+    if (word == "VmHWM:" && file >> value)
+      usage.peak = value / 1024;
+    if (word == "RssAnon:" && file >> value)
+      usage.anonymous = value / 1024;
+    if (word == "Threads:" && file >> value)
+      usage.threads = value;
   }
   std::error_code gone;
   for (auto at = std::filesystem::directory_iterator(base + "/fd", gone); at != end(at); ++at)
@@ -40,7 +45,8 @@
 
 ScaleFolder::ScaleFolder() {
   char name[] = "/tmp/elmcleat-scale-XXXXXX";
-  if (!mkdtemp(name)) throw Faults({std::string(name) + ": can't be made"});
+  if (!mkdtemp(name))
+    throw Faults({std::string(name) + ": can't be made"});
   path = name;
   sigset_t heeded, old;
   sigemptyset(&heeded), sigaddset(&heeded, SIGUSR1);
@@ -50,7 +56,8 @@
   if (pid_ == 0) {
     setpgid(0, 0);  // what interrupts the tool from a terminal is not for this one
     prctl(PR_SET_PDEATHSIG, SIGUSR1);
-    if (int signal = 0; getppid() == parent) sigwait(&heeded, &signal);
+    if (int signal = 0; getppid() == parent)
+      sigwait(&heeded, &signal);
     usleep(200'000);  // all others end, and write no more
     std::error_code fault;
     std::filesystem::remove_all(path, fault);
@@ -64,8 +71,10 @@
 }
 
 void ScaleBounds::check() const {
-  if (secondsNow() > endsAt) throw Faults({"mostSeconds: the run has taken longer than it was told to"});
-  if (processes.size() + 2 > kMostProcesses) throw Faults({"more than 200 processes"});
+  if (secondsNow() > endsAt)
+    throw Faults({"mostSeconds: the run has taken longer than it was told to"});
+  if (processes.size() + 2 > kMostProcesses)
+    throw Faults({"more than 200 processes"});
   double sum = 0;
   for (pid_t pid : processes) {
     double pages = 0, skipped = 0;
--- a/src/lab/scale_plan.cpp
+++ b/src/lab/scale_plan.cpp
@@ -39,10 +39,12 @@
   const Section file(plan.document);
   plan.name = file.need<std::string>("name"), plan.mostSeconds = file.need<double>("mostSeconds");
   plan.real = file.get("real", plan.real), plan.enginesEach = file.get("enginesEach", plan.enginesEach);
-  if (file.has("dispatchers")) plan.dispatchers = file.need<int>("dispatchers");
+  if (file.has("dispatchers"))
+    plan.dispatchers = file.need<int>("dispatchers");
   plan.variants = file.get("variants", std::map<std::string, Json>{{"off", nullptr}});
   plan.targets = file.get("target", plan.targets), plan.limits = file.get("limits", plan.limits);
-  for (auto& row : file.rows("expect")) plan.expect.push_back(readExpectation(row));
+  for (auto& row : file.rows("expect"))
+    plan.expect.push_back(readExpectation(row));
   for (auto& row : file.rows("runs")) {
     ScaleRun& run = plan.runs.emplace_back();
     run.engines = row.need<std::vector<int>>("engines"), run.settle = row.get("settle", run.settle);
@@ -50,7 +52,8 @@
     for (auto& one : run.variants)
       if (!plan.variants.contains(one))
         throw Faults({path + ": " + row.nameOf("variants") + ": '" + one + "' is no variant here"});
-    for (auto& step : row.rows("steps")) run.steps.push_back(readStep(step));
+    for (auto& step : row.rows("steps"))
+      run.steps.push_back(readStep(step));
   }
   return plan;
 }
@@ -70,8 +73,10 @@
       if (one.name != want.figure || (!want.variant.empty() && one.variant != want.variant) || one.ys.empty())
         continue;
       found = true;
-      for (double y : one.ys) check(one, "value", y, want.least, want.most);
-      if (!want.leastExponent && !want.mostExponent) continue;
+      for (double y : one.ys)
+        check(one, "value", y, want.least, want.most);
+      if (!want.leastExponent && !want.mostExponent)
+        continue;
       double y = std::max(one.ys.back(), 1e-9) / std::max(one.ys.front(), 1e-9);
       check(one, "exponent", std::log(y) / std::log(one.xs.back() / one.xs.front()), want.leastExponent,
             want.mostExponent);
--- a/src/lab/scale_trial.cpp
+++ b/src/lab/scale_trial.cpp
@@ -44,7 +44,8 @@
 // As the program's last line on its view has it: "... USED of LISTED in use ...".
 std::optional<double> inView(const std::string& log) {
   size_t end = log.rfind(" in use, reach");
-  if (end == std::string::npos) return std::nullopt;
+  if (end == std::string::npos)
+    return std::nullopt;
   size_t at = log.rfind(": ", end);
   return std::strtod(log.c_str() + at + 2, nullptr);
 }
@@ -73,9 +74,12 @@
   std::vector<Figure> figures;
   for (auto& taken : all_) {
     Figure& one = figures.emplace_back(taken.of);
-    for (auto& [x, repeats] : taken.values) one.take(x, repeats);
-    if (auto at = plan.targets.find(one.xName); at != plan.targets.end()) one.target = at->second;
-    if (auto at = plan.limits.find(one.name); at != plan.limits.end()) one.limit = at->second;
+    for (auto& [x, repeats] : taken.values)
+      one.take(x, repeats);
+    if (auto at = plan.targets.find(one.xName); at != plan.targets.end())
+      one.target = at->second;
+    if (auto at = plan.limits.find(one.name); at != plan.limits.end())
+      one.limit = at->second;
   }
   std::ranges::stable_sort(figures, {}, [](const Figure& one) { return std::tie(one.name, one.variant); });
   return figures;
@@ -109,19 +113,22 @@
     std::ofstream(folder_.path + "/" + std::to_string(i) + ".json") << configFor(i, changeLog).dump();
   }
   double began = secondsNow();
-  for (int i = 0; i < plan.real; ++i) start(i, gateway);
+  for (int i = 0; i < plan.real; ++i)
+    start(i, gateway);
   awaitReady(began);
 }
 
 Trial::~Trial() {
   for (auto& one : real_)
-    if (one->pid > 0) ::kill(one->pid, SIGKILL), waitpid(one->pid, nullptr, 0);
+    if (one->pid > 0)
+      ::kill(one->pid, SIGKILL), waitpid(one->pid, nullptr, 0);
   bounds_.processes.clear();
 }
 
 Json Trial::configFor(int dispatcher, const Address& changeLog) const {
   Json hosts = Json::array(), zones = Json::array();
-  for (int i = 0; i < kZones; ++i) zones.push_back("zone-" + std::to_string(i));
+  for (int i = 0; i < kZones; ++i)
+    zones.push_back("zone-" + std::to_string(i));
   for (uint32_t i = 0; i < uint32_t(engines_); ++i) {
     char id[16];
     std::snprintf(id, sizeof id, "s-%08x", i + 1);
@@ -163,7 +170,8 @@
                   {"cancel", true},
                   {"probing", true}}},
                 {"specifics", {{"kindCores", {8}}, {"dop", {1}}, {"ranksHeeded", true}}}};
-  if (plan_.document.contains("settings")) settings.merge_patch(plan_.document["settings"]);
+  if (plan_.document.contains("settings"))
+    settings.merge_patch(plan_.document["settings"]);
   return {
       {"name", "scale" + std::to_string(dispatcher)},
       {"listen", textOf(real_[size_t(dispatcher)]->at)},
@@ -176,20 +184,25 @@
 
 void Trial::start(int dispatcher, const Json& gateway) {
   std::string base = folder_.path + "/" + std::to_string(dispatcher);
-  if (!gateway.is_null()) std::ofstream(base + ".gateway.json") << gateway.dump();
+  if (!gateway.is_null())
+    std::ofstream(base + ".gateway.json") << gateway.dump();
   Real& its = *real_[size_t(dispatcher)];
   pid_t parent = getpid();
   its.pid = fork();
-  if (its.pid < 0) throw Faults({"no process for a dispatcher"});
+  if (its.pid < 0)
+    throw Faults({"no process for a dispatcher"});
   if (its.pid == 0) {
     endWith(parent, 0);
     int log = open(its.log.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
     dup2(log, 2), dup2(log, 1);
     setenv("PROXY_CONFIG", (base + ".json").c_str(), 1);
-    for (const char* name : {"PROXY_LISTEN", "PROXY_NAME", "ELMCLEAT_LOG"}) unsetenv(name);
+    for (const char* name : {"PROXY_LISTEN", "PROXY_NAME", "ELMCLEAT_LOG"})
+      unsetenv(name);
     std::string own = base + ".gateway.json";
-    if (gateway.is_null()) execl(program_.c_str(), program_.c_str(), nullptr);
-    else execl(program_.c_str(), program_.c_str(), "--gateway", own.c_str(), nullptr);
+    if (gateway.is_null())
+      execl(program_.c_str(), program_.c_str(), nullptr);
+    else
+      execl(program_.c_str(), program_.c_str(), "--gateway", own.c_str(), nullptr);
     _exit(99);
   }
   bounds_.processes.insert(its.pid);
@@ -199,9 +212,11 @@
   std::vector<bool> ready(real_.size());
   while (std::ranges::find(ready, false) != ready.end()) {
     for (size_t i = 0; i < real_.size(); ++i)
-      if (!ready[i] && answersCheck(real_[i]->at)) ready[i] = true, add("ready", "s", secondsNow() - began);
+      if (!ready[i] && answersCheck(real_[i]->at))
+        ready[i] = true, add("ready", "s", secondsNow() - began);
     wait(0.002);
-    if (secondsNow() > began + kUp) throw Faults({"not ready after " + std::to_string(int(kUp)) + " s"});
+    if (secondsNow() > began + kUp)
+      throw Faults({"not ready after " + std::to_string(int(kUp)) + " s"});
   }
 }
 
@@ -216,7 +231,8 @@
                       log.substr(log.size() - std::min<size_t>(log.size(), 300))});
       }
     double left = end - secondsNow();
-    if (left <= 0) return;
+    if (left <= 0)
+      return;
     sleepFor(std::min(left, 0.25));
   }
 }
@@ -228,22 +244,30 @@
 }
 
 void Trial::play(const Step& step) {
-  if (step.what == "quiet" || step.what == "changes") quiet(step, step.what == "changes");
-  else if (step.what == "connections") connections(step);
-  else if (step.what == "commands") commands(step);
-  else if (step.what == "drain") drain(step);
-  else if (step.what == "zone") zone(step);
-  else silent(step);
+  if (step.what == "quiet" || step.what == "changes")
+    quiet(step, step.what == "changes");
+  else if (step.what == "connections")
+    connections(step);
+  else if (step.what == "commands")
+    commands(step);
+  else if (step.what == "drain")
+    drain(step);
+  else if (step.what == "zone")
+    zone(step);
+  else
+    silent(step);
 }
 
 // --- what is read
 std::vector<double> Trial::cpu(double seconds) {
   std::vector<double> used;
   double began = secondsNow();
-  for (auto& one : real_) used.push_back(-cpuOf(one->pid));
+  for (auto& one : real_)
+    used.push_back(-cpuOf(one->pid));
   wait(seconds);
   double span = secondsNow() - began;
-  for (size_t i = 0; i < used.size(); ++i) used[i] = (used[i] + cpuOf(real_[i]->pid)) / span;
+  for (size_t i = 0; i < used.size(); ++i)
+    used[i] = (used[i] + cpuOf(real_[i]->pid)) / span;
   return used;
 }
 std::vector<double> Trial::worst(double seconds) {
@@ -251,13 +275,15 @@
   double end = secondsNow() + seconds - 0.5;
   do {
     auto second = cpu(1);
-    for (size_t i = 0; i < most.size(); ++i) most[i] = std::max(most[i], second[i]);
+    for (size_t i = 0; i < most.size(); ++i)
+      most[i] = std::max(most[i], second[i]);
   } while (secondsNow() < end);
   return most;
 }
 double Trial::sum(std::atomic<uint64_t> ClientCounts::*count) const {
   double all = 0;
-  for (auto& one : real_) all += double(((*one->counts).*count).load());
+  for (auto& one : real_)
+    all += double(((*one->counts).*count).load());
   return all;
 }
 double Trial::faulty() const {
@@ -265,21 +291,25 @@
 }
 double Trial::openToEngines() const {
   double all = 0;
-  for (auto& one : servers_) all += double(one->counts->open.load());
+  for (auto& one : servers_)
+    all += double(one->counts->open.load());
   return all / double(real_.size());
 }
 uint32_t Trial::busiest() {  // from now on, for a while
   auto sends = [&](uint32_t i) -> uint32_t { return servers_[i % servers_.size()]->counts->sends[i]; };
   std::vector<uint32_t> had;
-  for (uint32_t i = 0; i < uint32_t(engines_); ++i) had.push_back(sends(i));
+  for (uint32_t i = 0; i < uint32_t(engines_); ++i)
+    had.push_back(sends(i));
   wait(0.3);
   uint32_t best = 0;
   for (uint32_t i = 0; i < uint32_t(engines_); ++i)
-    if (sends(i) - had[i] > sends(best) - had[best]) best = i;
+    if (sends(i) - had[i] > sends(best) - had[best])
+      best = i;
   return best;
 }
 void Trial::tellEngines(const std::string& order) const {
-  for (auto& one : servers_) one->child->tell(order);
+  for (auto& one : servers_)
+    one->child->tell(order);
 }
 void Trial::load(const Step& step, int tables) {
   tellEngines("work " + std::to_string(step.work));
@@ -287,7 +317,8 @@
     one->clients->tell("rate " + std::to_string(step.rate) + " " + std::to_string(tables));
 }
 void Trial::over() {
-  for (auto& one : real_) one->clients->tell("rate 0 1");
+  for (auto& one : real_)
+    one->clients->tell("rate 0 1");
   wait(0.7);
 }
 
@@ -301,26 +332,30 @@
         Usage usage = usageOf(one->pid);
         add("memory.engines", "MB", usage.anonymous), add("memory.engines.peak", "MB", usage.peak);
         add("count.descriptors", "open", usage.descriptors), add("count.threads", "threads", usage.threads);
-        if (auto used = inView(logOf(*one))) add("count.view", "engines in view", *used);
+        if (auto used = inView(logOf(*one)))
+          add("count.view", "engines in view", *used);
       }
     double in = double(log_->bytesOut), out = double(log_->bytesIn), events = double(log_->events);
     std::vector<double> lines;
     auto linesOf = [&](const Real& one) { return double(std::ranges::count(logOf(one), '\n')); };
-    for (auto& one : real_) lines.push_back(-linesOf(*one));
+    for (auto& one : real_)
+      lines.push_back(-linesOf(*one));
     double began = secondsNow();
     auto used = cpu(step.seconds);
     double span = (secondsNow() - began) * double(real_.size());
     in = (double(log_->bytesOut) - in) / span, out = (double(log_->bytesIn) - out) / span;
     events = double(log_->events) - events;
     if (byChanges) {
-      for (double one : used) found_.add("control.changes.cores", "cores", "changes", speed, one);
+      for (double one : used)
+        found_.add("control.changes.cores", "cores", "changes", speed, one);
       found_.add("control.changes.in", "B/s", "changes", speed, in);
       continue;
     }
     std::string base = "control." + speedName(speed);
     addEach(base + ".cores", "cores", used);
     add(base + ".in", "B/s", in), add(base + ".out", "B/s", out);
-    if (events < 1) continue;
+    if (events < 1)
+      continue;
     for (size_t i = 0; i < real_.size(); ++i)
       add("count." + speedName(speed) + ".lines", "log lines an event",
           (lines[i] + linesOf(*real_[i])) / events);
@@ -332,9 +367,11 @@
   for (int count : step.counts) {
     double checks = sum(&ClientCounts::checks), broken = sum(&ClientCounts::broken);
     double all = double(count) * double(real_.size()), more = all - sum(&ClientCounts::idle);
-    for (auto& one : real_) one->clients->tell("idle " + std::to_string(count));
+    for (auto& one : real_)
+      one->clients->tell("idle " + std::to_string(count));
     for (double end = secondsNow() + 20;; wait(0.1)) {
-      if (sum(&ClientCounts::idle) >= all && sum(&ClientCounts::checks) >= checks + more) break;
+      if (sum(&ClientCounts::idle) >= all && sum(&ClientCounts::checks) >= checks + more)
+        break;
       if (secondsNow() > end)
         throw Faults({"connections: " + std::to_string(count) + " did not come up in 20 s"});
     }
@@ -345,11 +382,13 @@
       found_.add("memory.connections", "MB", "connections", count, usage.anonymous);
       found_.add("count.connections.descriptors", "open", "connections", count, usage.descriptors);
     }
-    for (double one : used) found_.add("connections.cores", "cores", "connections", count, one);
+    for (double one : used)
+      found_.add("connections.cores", "cores", "connections", count, one);
     found_.add("connections.broken", "connections", "connections", count,
                sum(&ClientCounts::broken) - broken);
   }
-  for (auto& one : real_) one->clients->tell("idle 0");
+  for (auto& one : real_)
+    one->clients->tell("idle 0");
   wait(1);
 }
 
@@ -358,10 +397,12 @@
   load(step);
   wait(std::min(step.seconds, 2.0));
   for (auto& one : real_)
-    for (auto& count : one->counts->latency) count = 0;
+    for (auto& count : one->counts->latency)
+      count = 0;
   double bad = faulty(), shed = sum(&ClientCounts::shed), asked = sum(&ClientCounts::asked);
   std::vector<double> answered;
-  for (auto& one : real_) answered.push_back(-double(one->counts->answered));
+  for (auto& one : real_)
+    answered.push_back(-double(one->counts->answered));
   double began = secondsNow();
   auto used = cpu(step.seconds);
   double span = secondsNow() - began;
@@ -370,7 +411,8 @@
     if (used[i] > kBusy)
       found_.missing.push_back({step.name + ".cpu", found_.variant,
                                 "a dispatcher had no time left: its cost is not told", double(engines_)});
-    else if (answered[i] > 0) add(step.name + ".cpu", "us", (used[i] - idle[i]) * span / answered[i] * 1e6);
+    else if (answered[i] > 0)
+      add(step.name + ".cpu", "us", (used[i] - idle[i]) * span / answered[i] * 1e6);
     add(step.name + ".cores", "cores", used[i]);
     add(step.name + ".half", "ms", latencyAt(*real_[i]->counts, 0.5) * 1e3);
     add(step.name + ".p99", "ms", latencyAt(*real_[i]->counts, 0.99) * 1e3);
@@ -380,9 +422,11 @@
   add("count." + step.name + ".connected", "connections", openToEngines());
   uint32_t most = 0, reached = 0;
   for (auto& one : servers_)
-    for (auto& count : one->counts->connections) most = std::max<uint32_t>(most, count);
+    for (auto& count : one->counts->connections)
+      most = std::max<uint32_t>(most, count);
   for (auto& one : servers_)
-    for (auto& count : one->counts->sends) reached += count > 0;
+    for (auto& count : one->counts->sends)
+      reached += count > 0;
   add("count." + step.name + ".engines", "engines", reached),
       add("count." + step.name + ".callers", "connections at one", most);
   over();
@@ -400,15 +444,18 @@
     auto& lastSend = servers_[engine % servers_.size()]->counts->lastSend[engine];
     double before = log_->toldAt, each = 1 / step.rate;
     changeLog_->tell("row " + std::to_string(engine) + " 1");
-    for (double end = secondsNow() + 2; log_->toldAt == before && secondsNow() < end;) sleepFor(0.001);
+    for (double end = secondsNow() + 2; log_->toldAt == before && secondsNow() < end;)
+      sleepFor(0.001);
     double told = log_->toldAt, gap = told - lastSend;
     wait(std::min(step.seconds, 1.0));
-    if (gap < 5 * each) worst = std::max({worst, lastSend - told, 0.0});  // it had commands until then
+    if (gap < 5 * each)
+      worst = std::max({worst, lastSend - told, 0.0});  // it had commands until then
     changeLog_->tell("row " + std::to_string(engine) + " 0");
     wait(0.2);
   }
   over();
-  if (worst < 0) throw Faults({"drain: no engine that had commands until it was told"});
+  if (worst < 0)
+    throw Faults({"drain: no engine that had commands until it was told"});
   add(step.name + ".last", "s", worst);
 }
 
@@ -444,9 +491,11 @@
   double before = log_->toldAt;
   changeLog_->tell("silent 0");
   std::vector<double> used;
-  for (auto& one : real_) used.push_back(-cpuOf(one->pid));
+  for (auto& one : real_)
+    used.push_back(-cpuOf(one->pid));
   double began = secondsNow();
-  for (double end = began + 2; log_->toldAt == before && secondsNow() < end;) sleepFor(0.001);
+  for (double end = began + 2; log_->toldAt == before && secondsNow() < end;)
+    sleepFor(0.001);
   double told = log_->toldAt;
   const std::string line = "event " + std::to_string(log_->number);
   auto applied = [&](const std::string& log) {
@@ -457,14 +506,16 @@
   };
   for (auto& one : real_) {
     while (!applied(logOf(*one))) {
-      if (secondsNow() > told + 5) throw Faults({"silent: no whole list was applied in 5 s"});
+      if (secondsNow() > told + 5)
+        throw Faults({"silent: no whole list was applied in 5 s"});
       wait(0.002);
     }
     add("silent.applied", "s", secondsNow() - told);
   }
   wait(std::max(0.0, began + 1 - secondsNow()));
   double span = secondsNow() - began;
-  for (size_t i = 0; i < used.size(); ++i) used[i] = (used[i] + cpuOf(real_[i]->pid)) / span;
+  for (size_t i = 0; i < used.size(); ++i)
+    used[i] = (used[i] + cpuOf(real_[i]->pid)) / span;
   addEach("silent.back.cores", "cores", used);
   addEach("silent.after.cores", "cores", worst(std::min(step.seconds, 3.0)));
   changeLog_->tell("zone 3 64 0 0");
--- a/src/lab/scale_trial.h
+++ b/src/lab/scale_trial.h
@@ -72,7 +72,8 @@
     found_.add(figure, unit, "engines", engines_, y);
   }
   void addEach(const std::string& figure, const std::string& unit, const std::vector<double>& ys) {
-    for (double y : ys) add(figure, unit, y);
+    for (double y : ys)
+      add(figure, unit, y);
   }
 
   const ScalePlan& plan_;
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -13,7 +13,8 @@
   trouble.team = row.get<std::string>("team", "");
   trouble.times = row.get("times", 1.0), trouble.part = row.get("part", 1.0);
   trouble.zone = row.get<std::string>("zone", ""), trouble.steps = row.get("steps", trouble.steps);
-  if (row.has("budgets")) trouble.plan = readBudgets(row.part("budgets"));
+  if (row.has("budgets"))
+    trouble.plan = readBudgets(row.part("budgets"));
   return trouble;
 }
 
@@ -22,7 +23,8 @@
 Scenario readScenario(const std::string& path) {
   Json document = readJson(path);
   auto faults = schemaFaults(document, kScenarioSchema, path);
-  if (!faults.empty()) throw Faults(std::move(faults));
+  if (!faults.empty())
+    throw Faults(std::move(faults));
   const Section file(document);
   Scenario scene;
   scene.name = file.need<std::string>("name"), scene.about = file.get<std::string>("about", "");
@@ -73,12 +75,15 @@
     for (auto& mix : row.rows("mix"))
       team.mix.push_back({mix.need<std::string>("profile"), mix.get("part", 1.0)});
     if (team.mix.empty())
-      for (auto& profile : set.profiles) team.mix.push_back({profile.name, 1});
+      for (auto& profile : set.profiles)
+        team.mix.push_back({profile.name, 1});
     all += row.get("share", team.rate);
     set.tenants.push_back({team.name, row.get("share", team.rate), row.get("quota", 0.0)});
   }
-  for (auto& tenant : set.tenants) tenant.share /= all;
-  for (auto& row : file.rows("troubles")) scene.troubles.push_back(readTrouble(row));
+  for (auto& tenant : set.tenants)
+    tenant.share /= all;
+  for (auto& row : file.rows("troubles"))
+    scene.troubles.push_back(readTrouble(row));
   if (file.has("budgets")) {
     scene.budgets = readBudgets(file.part("budgets")), scene.budgetsText = document["budgets"];
     for (auto& fault : budget::faultsOf(*scene.budgets))
@@ -99,13 +104,16 @@
   scene.against = file.get("against", scene.against);
   for (auto& row : file.rows("expect")) {
     Expect expect{row.need<std::string>("figure"), {}, {}};
-    if (row.has("least")) expect.least = row.need<double>("least");
-    if (row.has("most")) expect.most = row.need<double>("most");
+    if (row.has("least"))
+      expect.least = row.need<double>("least");
+    if (row.has("most"))
+      expect.most = row.need<double>("most");
     scene.expect.push_back(expect);
   }
   auto known = [&](const std::string& name) {
     for (auto& profile : set.profiles)
-      if (profile.name == name) return true;
+      if (profile.name == name)
+        return true;
     return false;
   };
   for (size_t i = 0; i < scene.teams.size(); ++i)
@@ -113,7 +121,8 @@
       if (!known(mix.profile))
         faults.push_back(path + ": teams[" + std::to_string(i) + "].mix: '" + mix.profile +
                          "' is no profile here");
-  if (!faults.empty()) throw Faults(std::move(faults));
+  if (!faults.empty())
+    throw Faults(std::move(faults));
   return scene;
 }
 
--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -40,7 +40,8 @@
   explicit Peer(Scheduler& scheduler) : signal_(scheduler), stream(scheduler, signal_, kMost, kMost) {}
   void start() { task_ = run(), task_.start(); }
   void say(std::string bytes) {
-    if (!stream.open()) return;
+    if (!stream.open())
+      return;
     stream.write(std::move(bytes)), stream.flush();
   }
   void close() { stream.end(CloseReason::idle), signal_.raise(); }
@@ -58,11 +59,14 @@
     while (stream.open()) {
       stream.connected();
       stream.fill(true);
-      if (!stream.in().empty()) heard(stream.in());
+      if (!stream.in().empty())
+        heard(stream.in());
       stream.flush();
-      if (stream.open()) co_await signal_;
+      if (stream.open())
+        co_await signal_;
     }
-    if (over) over();
+    if (over)
+      over();
   }
   Task task_;
 };
@@ -97,7 +101,8 @@
         program_(std::move(program)),
         scheduler_(clock_) {}
   ~Day() {
-    for (pid_t pid : processes_) ::kill(pid, SIGKILL), waitpid(pid, nullptr, 0);
+    for (pid_t pid : processes_)
+      ::kill(pid, SIGKILL), waitpid(pid, nullptr, 0);
     std::filesystem::remove_all(folder_);
   }
 
@@ -117,11 +122,13 @@
           std::make_unique<Listening>(scheduler_, addressOf(1, i), [this, i](int fd) { serve(i, fd); });
       machine.timer = std::make_unique<Timer>(scheduler_, [this, i] { finish(i); });
     }
-    for (uint32_t i = 0; i < uint32_t(scene_.fleet.gateways); ++i) start(i);
+    for (uint32_t i = 0; i < uint32_t(scene_.fleet.gateways); ++i)
+      start(i);
     waitUntilUp();
     began_ = scheduler_.now() + 0.2;
     for (auto& asked : source_.asked)
-      if (asked.first == size_t(&asked - source_.asked.data())) order_.push_back(asked.first);
+      if (asked.first == size_t(&asked - source_.asked.data()))
+        order_.push_back(asked.first);
     record_.asked.resize(source_.asked.size(),
                          Asked{~uint64_t{0}, 0, 0, 0, 0, 0, HUGE_VAL, 0, 0});  // not asked yet
     next_ = std::make_unique<Timer>(scheduler_, [this] { ask(); });
@@ -217,7 +224,8 @@
             {"ranksHeeded", scene_.settings.priorities}}}}}};
     std::ofstream(base + ".json") << config.dump();
     bool budgets = !scene_.budgetsText.is_null() && variant_.budgets;
-    if (budgets) std::ofstream(base + ".gateway.json") << Json{{"budgets", scene_.budgetsText}}.dump();
+    if (budgets)
+      std::ofstream(base + ".gateway.json") << Json{{"budgets", scene_.budgetsText}}.dump();
     pid_t pid = fork();
     if (pid == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -226,8 +234,10 @@
       setenv("PROXY_CONFIG", (base + ".json").c_str(), 1);
       unsetenv("PROXY_LISTEN"), unsetenv("PROXY_NAME");
       std::string own = base + ".gateway.json";
-      if (budgets) execl(program_.c_str(), program_.c_str(), "--gateway", own.c_str(), nullptr);
-      else execl(program_.c_str(), program_.c_str(), nullptr);
+      if (budgets)
+        execl(program_.c_str(), program_.c_str(), "--gateway", own.c_str(), nullptr);
+      else
+        execl(program_.c_str(), program_.c_str(), nullptr);
       _exit(99);
     }
     processes_.push_back(pid);
@@ -241,8 +251,10 @@
         int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         bool up = connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0;
         ::close(fd);
-        if (up) break;
-        if (scheduler_.now() < end) continue;
+        if (up)
+          break;
+        if (scheduler_.now() < end)
+          continue;
         std::stringstream log;
         log << std::ifstream(folder_ + "/" + std::to_string(gate) + ".log").rdbuf();
         throw Faults({program_ + ": is not up after " + std::to_string(int(kUp)) + " s: " + log.str()});
@@ -259,8 +271,10 @@
   }
   void beat() {
     static const std::string frame("\0\0\0\x09\0\0\0\0\0\0\0\x01\0", 13);
-    for (auto& peer : followers_) peer->say(frame);
-    if (!beat_) beat_ = std::make_unique<Timer>(scheduler_, [this] { beat(); });
+    for (auto& peer : followers_)
+      peer->say(frame);
+    if (!beat_)
+      beat_ = std::make_unique<Timer>(scheduler_, [this] { beat(); });
     beat_->set(scheduler_.now() + 1);
   }
 
@@ -272,8 +286,10 @@
     peer.over = [this, node, from] {  // gives up everything open on it
       std::vector<uint64_t> gone;
       for (auto& [command, who] : machines_[node]->open)
-        if (who.first == from) gone.push_back(command);
-      for (uint64_t command : gone) drop(node, command);
+        if (who.first == from)
+          gone.push_back(command);
+      for (uint64_t command : gone)
+        drop(node, command);
     };
     peer.stream.adopt(fd);
     peer.start();
@@ -281,14 +297,16 @@
   void heed(uint32_t node, Peer& from, std::string& bytes) {
     while (true) {
       size_t end = bytes.find("\r\n");
-      if (end == std::string::npos) return;
+      if (end == std::string::npos)
+        return;
       std::istringstream words(bytes.substr(0, end));
       std::string verb, id, fields;
       size_t length = 0;
       words >> verb >> id;
       if (verb == "GET") {
         words >> fields >> length;
-        if (bytes.size() < end + 2 + length + 2) return;
+        if (bytes.size() < end + 2 + length + 2)
+          return;
         bytes.erase(0, end + 2 + length + 2);
         begin(node, from, id, fields);
         continue;
@@ -296,18 +314,22 @@
       bytes.erase(0, end + 2);
       uint64_t command = std::strtoull(id.c_str(), nullptr, 16);
       int priority = 1;
-      if (verb == "DROP") drop(node, command);
+      if (verb == "DROP")
+        drop(node, command);
       else if (verb == "RANK" && words >> priority)
         machines_[node]->model.rank(scheduler_.now(), command, priority), aim(node);
-      else if (verb == "PING" || verb == "LOAD") from.say(id + " PONG - 0\r\n\r\n");
+      else if (verb == "PING" || verb == "LOAD")
+        from.say(id + " PONG - 0\r\n\r\n");
     }
   }
   void begin(uint32_t node, Peer& from, const std::string& id, const std::string& fields) {
     uint64_t command = std::strtoull(id.c_str(), nullptr, 16);
-    if (command >= record_.asked.size()) return;
+    if (command >= record_.asked.size())
+      return;
     const Asked& asked = record_.asked[command];
     int priority = 1;
-    if (auto at = fields.find("weight="); at != std::string::npos) priority = fields[at + 7] - '0';
+    if (auto at = fields.find("weight="); at != std::string::npos)
+      priority = fields[at + 7] - '0';
     uint32_t gate = asked.gate;
     mark(Mark::sent, gate, command, node), mark(Mark::ran, gate, command, node);
     machines_[node]->open[command] = {&from, gate};
@@ -318,13 +340,16 @@
     aim(node);
   }
   void aim(uint32_t node) {
-    if (auto at = machines_[node]->model.nextEnd()) machines_[node]->timer->set(*at);
-    else machines_[node]->timer->clear();
+    if (auto at = machines_[node]->model.nextEnd())
+      machines_[node]->timer->set(*at);
+    else
+      machines_[node]->timer->clear();
   }
   void finish(uint32_t node) {
     for (auto& one : machines_[node]->model.finished(scheduler_.now())) {
       auto who = machines_[node]->open.extract(one.send);
-      if (who.empty()) continue;
+      if (who.empty())
+        continue;
       mark(Mark::over, who.mapped().second, one.send, node);
       char head[96];
       int size = std::snprintf(head, sizeof head, "%016llx HIT fetches=1,effort=%.3f 6\r\n",
@@ -335,7 +360,8 @@
   }
   void drop(uint32_t node, uint64_t command) {
     auto who = machines_[node]->open.extract(command);
-    if (who.empty()) return;
+    if (who.empty())
+      return;
     mark(Mark::over, who.mapped().second, command, node);
     machines_[node]->model.drop(scheduler_.now(), command);
     aim(node);
@@ -347,8 +373,10 @@
 
   // --- clients
   void ask() {
-    for (; at_ < order_.size() && source_.asked[order_[at_]].at <= now(); ++at_) ask(order_[at_]);
-    if (at_ < order_.size()) next_->set(began_ + source_.asked[order_[at_]].at);
+    for (; at_ < order_.size() && source_.asked[order_[at_]].at <= now(); ++at_)
+      ask(order_[at_]);
+    if (at_ < order_.size())
+      next_->set(began_ + source_.asked[order_[at_]].at);
   }
   void ask(uint64_t command) {
     Asked& asked = record_.asked[command] = source_.asked[command];
@@ -375,7 +403,8 @@
     while (!idle.empty()) {
       Client* client = idle.back();
       idle.pop_back();
-      if (client->peer.stream.open()) return *client;
+      if (client->peer.stream.open())
+        return *client;
     }
     Client& client = *clients_.emplace_back(std::make_unique<Client>(scheduler_));
     client.gate = gate;
@@ -386,8 +415,10 @@
   }
   void answer(Client& client, std::string& bytes) {
     auto status = takeAnswer(bytes);
-    if (!status) return;
-    if (!client.command) return;
+    if (!status)
+      return;
+    if (!client.command)
+      return;
     uint64_t command = *client.command;
     client.command.reset();
     const Asked& asked = record_.asked[command];
--- a/src/lab/traffic.h
+++ b/src/lab/traffic.h
@@ -16,7 +16,8 @@
   explicit Traffic(double began = 0) : began_(began) {}
   void add(double now, size_t bytes) {
     auto second = uint64_t(std::max(now - began_, 0.0));
-    for (uint64_t i = second_ + 1; i <= std::min(second, second_ + kSeconds); ++i) lately_[i % kSeconds] = 0;
+    for (uint64_t i = second_ + 1; i <= std::min(second, second_ + kSeconds); ++i)
+      lately_[i % kSeconds] = 0;
     second_ = std::max(second, second_);
     lately_[second_ % kSeconds] += bytes, bytes_ += bytes;
     worst_ = std::max(worst_, std::accumulate(lately_.begin(), lately_.end(), uint64_t{0}));
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -34,11 +34,15 @@
       gates_.push_back(std::make_unique<Gate>(*this, uint32_t(i)));
       gates_.back()->open();
     }
-    for (size_t i = 0; i < scene_.teams.size(); ++i) nextArrival(i);
-    for (auto& trouble : scene_.troubles) plan(trouble);
+    for (size_t i = 0; i < scene_.teams.size(); ++i)
+      nextArrival(i);
+    for (auto& trouble : scene_.troubles)
+      plan(trouble);
     events_.at(0.5, [this] { sample(); });
-    while (now_ < scene_.lasts && events_.next(now_)) {}
-    for (auto& engine : engines_) record_.fell += engine->model.fell;
+    while (now_ < scene_.lasts && events_.next(now_)) {
+    }
+    for (auto& engine : engines_)
+      record_.fell += engine->model.fell;
     record_.realSeconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
     return std::move(record_);
   }
@@ -64,16 +68,19 @@
       const Variant& variant = world.variant_;
       uint64_t seed = world.seed_ * 1000 + number;
       Settings settings = world.scene_.settings;
-      if (world.scene_.view) settings.ordinal = int(number);  // with the view and without it
+      if (world.scene_.view)
+        settings.ordinal = int(number);  // with the view and without it
       if (world.scene_.view && variant.view && variant.deciding == Deciding::module)
         view = std::make_unique<view::View>(*world.scene_.view, settings), settings = view->local();
       if (variant.deciding == Deciding::module) {
         if (world.scene_.budgets && variant.budgets) {
           office = std::make_unique<budget::Office>(*world.scene_.budgets, world.scene_.fleet.gateways);
-          if (world.scene_.shared && variant.sharing) lend();
+          if (world.scene_.shared && variant.sharing)
+            lend();
           office->onWait([this](Command& command, budget::Estimate told, double seen) {
             auto known = numbers.find(&command);
-            if (known == numbers.end()) return;
+            if (known == numbers.end())
+              return;
             world.record_.waits.push_back(
                 {world.record_.asked[known->second].at, told.half, told.nine, seen, known->second});
           });
@@ -89,29 +96,35 @@
     }
     // The list, or what of it is in view.
     void hear(const ListEvent& event) {
-      if (!view) return show(event.rows, event.whole);
+      if (!view)
+        return show(event.rows, event.whole);
       show(view->apply(event, world.now_), event.whole);
       watch();
     }
     void show(const std::vector<Listing>& listings, bool whole) {
       std::vector<NodeRow> rows;
-      for (auto& listing : listings) rows.push_back(rowOf(listing));
+      for (auto& listing : listings)
+        rows.push_back(rowOf(listing));
       if (whole || !rows.empty())
         tell([&] { gateway->list(whole ? ListKind::full : ListKind::changes, rows); });
     }
     void rests(uint32_t node, bool is) override {
-      if (view) view->rests(node, is), watch();  // the module is told in a turn of its own
+      if (view)
+        view->rests(node, is), watch();  // the module is told in a turn of its own
     }
     void watch() {
       double at = std::max(view->wakes(), world.now_);
-      if (at == HUGE_VAL || (watchAt >= 0 && watchAt <= at)) return;
+      if (at == HUGE_VAL || (watchAt >= 0 && watchAt <= at))
+        return;
       world.events_.at(watchAt = at, [this, at] {
-        if (watchAt == at) watchAt = -1, show(view->tick(world.now_), false), watch();
+        if (watchAt == at)
+          watchAt = -1, show(view->tick(world.now_), false), watch();
       });
     }
     static NodeRow rowOf(const Listing& listing) {
       NodeRow row = listing.row;
-      if (listing.bornMs > 0) row.startedAt = double(listing.bornMs) / 1000;
+      if (listing.bornMs > 0)
+        row.startedAt = double(listing.bornMs) / 1000;
       return row;
     }
     ~Gate() override { gateway.reset(), commands.clear(), out.clear(); }
@@ -126,7 +139,8 @@
       office->at(world.now_);
       office->share(usable());
       auto wants = office->wants();
-      for (size_t i = 0; i < wants.size(); ++i) loans->want(i, wants[i]);
+      for (size_t i = 0; i < wants.size(); ++i)
+        loans->want(i, wants[i]);
       loans->tick(world.now_);
       post();
       world.events_.at(std::max(loans->wakes(), world.now_ + 0.001), [this] { look(); });
@@ -176,7 +190,8 @@
     }
     void expire(uint64_t number_) {
       auto sent = out.find(number_);
-      if (sent == out.end()) return;
+      if (sent == out.end())
+        return;
       uint32_t node = sent->second.node;
       world.events_.at(world.now_ + world.scene_.fleet.delay,
                        [this, node, number_] { world.drop(node, number_); });
@@ -184,12 +199,14 @@
     }
     void over(uint64_t number_, Outcome what, const Bill* bill = nullptr, const Report* report = nullptr) {
       auto found = out.extract(number_);
-      if (found.empty()) return;
+      if (found.empty())
+        return;
       Sent sent = std::move(found.mapped());
       byCommand.erase(sent.command.get());
       world.mark(Mark::over, *this, sent.number, sent.node);
       bool answered = what == Outcome::answered && !ended.contains(sent.number);
-      if (answered) final(sent.number, Mark::answered);
+      if (answered)
+        final(sent.number, Mark::answered);
       tell([&] {
         sent.command->outcome(what, world.now_ - sent.at, ended.contains(sent.number), bill, report);
       });
@@ -202,7 +219,8 @@
     }
     void cancel(Command& command, int) override {
       auto sent = byCommand.find(&command);
-      if (sent == byCommand.end()) return;
+      if (sent == byCommand.end())
+        return;
       uint64_t number_ = sent->second;
       uint32_t node = out.at(number_).node;
       world.events_.at(world.now_ + world.scene_.fleet.delay,
@@ -222,7 +240,8 @@
       double real = std::max(world.now_, at);
       wakeAt = real;
       world.events_.at(real, [this, real] {
-        if (wakeAt == real) wakeAt = -1, tell([] {});
+        if (wakeAt == real)
+          wakeAt = -1, tell([] {});
       });
     }
     void log(const std::string&) override {}
@@ -230,7 +249,8 @@
     void final(uint64_t id, Mark how) {
       ended.insert({id, true});
       world.mark(how, *this, id);
-      if (how == Mark::answered) world.earn(id);
+      if (how == Mark::answered)
+        world.earn(id);
       // Forgotten in a turn of its own: the module may be in the midst of it.
       world.events_.at(world.now_, [this, id] { forget(id); });
     }
@@ -270,14 +290,18 @@
   void sample() {
     double held = 0, busy = 0, cores = 0;
     for (auto& gate : gates_)
-      if (gate->office) held += double(gate->office->tree().root().held);
-      else held += double(gate->commands.size() - std::min(gate->commands.size(), gate->out.size()));
+      if (gate->office)
+        held += double(gate->office->tree().root().held);
+      else
+        held += double(gate->commands.size() - std::min(gate->commands.size(), gate->out.size()));
     for (auto& engine : engines_) {
       Engine& model = engine->model;
       double uses = std::min(model.threads(), scene_.fleet.kind.cores);
       busy += uses, cores += scene_.fleet.kind.cores;
-      if (now_ >= scene_.from && model.up) record_.load.push_back(model.threads() / scene_.fleet.kind.cores);
-      if (!model.up || !model.startedAt || now_ > *model.startedAt + scene_.fleet.coldTime) continue;
+      if (now_ >= scene_.from && model.up)
+        record_.load.push_back(model.threads() / scene_.fleet.kind.cores);
+      if (!model.up || !model.startedAt || now_ > *model.startedAt + scene_.fleet.coldTime)
+        continue;
       record_.coldAble += model.cores(now_), record_.coldBusy += std::min(uses, model.cores(now_));
     }
     second().held = held, second().busy = busy / cores;
@@ -290,8 +314,10 @@
     for (auto& trouble : scene_.troubles) {
       if (trouble.team != scene_.teams[team].name || now_ < trouble.at || now_ >= trouble.at + trouble.lasts)
         continue;
-      if (trouble.kind == "burst" && variant_.bursts) rate *= trouble.times;
-      if (trouble.kind == "quiet") rate = 0;
+      if (trouble.kind == "burst" && variant_.bursts)
+        rate *= trouble.times;
+      if (trouble.kind == "quiet")
+        rate = 0;
     }
     return rate;
   }
@@ -301,15 +327,18 @@
     for (auto& trouble : scene_.troubles)
       if (trouble.kind == "burst" && trouble.team == scene_.teams[team].name)
         most *= std::max(1.0, trouble.times);
-    if (most <= 0) return;
+    if (most <= 0)
+      return;
     auto& chance = chances_[team];
-    if (!chance) chance = std::make_unique<Pcg32>(arrivals_.next() + team);
+    if (!chance)
+      chance = std::make_unique<Pcg32>(arrivals_.next() + team);
     events_.at(now_ - std::log(1 - chance->unit()) / most, [this, team, most] {
       Pcg32& draw = *chances_[team];
       double keep = draw.unit(), pick = draw.unit(), size = draw.unit(), angle = draw.unit(),
              user = draw.unit();
       uint32_t gate = draw.next(), tables = draw.next();
-      if (keep * most < rateOf(team)) arrive(team, pick, size, angle, user, gate, tables);
+      if (keep * most < rateOf(team))
+        arrive(team, pick, size, angle, user, gate, tables);
       nextArrival(team);
     });
   }
@@ -317,12 +346,15 @@
               uint32_t tables) {
     const Team& who = scene_.teams[team];
     double all = 0;
-    for (auto& mix : who.mix) all += mix.part;
+    for (auto& mix : who.mix)
+      all += mix.part;
     size_t profile = 0;
     for (auto& mix : who.mix) {
       for (size_t i = 0; i < scene_.settings.profiles.size(); ++i)
-        if (scene_.settings.profiles[i].name == mix.profile) profile = i;
-      if ((pick -= mix.part / all) < 0) break;
+        if (scene_.settings.profiles[i].name == mix.profile)
+          profile = i;
+      if ((pick -= mix.part / all) < 0)
+        break;
     }
     const Work& work = scene_.work[profile];
     double normal = std::sqrt(-2 * std::log(1 - size)) * std::cos(2 * std::numbers::pi * angle);
@@ -330,7 +362,8 @@
     Arrival arrival;
     arrival.profile = scene_.settings.profiles[profile].name, arrival.tenant = who.name;
     arrival.tables = tables % 64, arrival.work = cost / who.estimateOver, arrival.memoryMb = work.memoryMb;
-    if (who.users > 0) arrival.users = {"u" + std::to_string(int(user * who.users))};
+    if (who.users > 0)
+      arrival.users = {"u" + std::to_string(int(user * who.users))};
     auto gates = uint32_t(std::ceil(who.gates * double(gates_.size()) - 1e-9));
     ask(arrival, team, profile, cost, gate % gates, record_.asked.size(), 0);
   }
@@ -342,13 +375,16 @@
     double target = row.target + row.targetStretch * cost / row.threads;
     record_.asked.push_back({first, uint32_t(team), uint32_t(profile), now_, cost, now_ + target,
                              now_ + row.clientTimeout, gate, uint32_t(arrival.tables)});
-    if (first == id) second().asked[team] += row.benefit;
-    if (tries < scene_.retries) retries_[id] = {arrival, gate, tries};
+    if (first == id)
+      second().asked[team] += row.benefit;
+    if (tries < scene_.retries)
+      retries_[id] = {arrival, gate, tries};
     gates_[gate]->take(id, arrival);
   }
   void retry(uint64_t id) {  // a client asks again a second after it was shed
     auto found = retries_.extract(id);
-    if (found.empty()) return;
+    if (found.empty())
+      return;
     events_.at(now_ + 1, [this, id, again = found.mapped()] {
       const Asked asked = record_.asked[id];
       ask(again.arrival, asked.team, asked.profile, asked.work, again.gate, asked.first, again.tries + 1);
@@ -362,13 +398,15 @@
   Listing listingOf(uint32_t node, NodeState state) const {
     Listing listing;
     listing.row = {node, zoneOf(node), scene_.fleet.kind.name, 0, state, {}};
-    if (auto start = engines_[node]->model.startedAt) listing.bornMs = std::llround(*start * 1000);
+    if (auto start = engines_[node]->model.startedAt)
+      listing.bornMs = std::llround(*start * 1000);
     return listing;
   }
   void go(Gate& gate, uint64_t number, int priority) {
     events_.at(now_ + scene_.fleet.delay, [this, &gate, number, priority] {
       auto sent = gate.out.find(number);
-      if (sent == gate.out.end()) return;
+      if (sent == gate.out.end())
+        return;
       uint32_t node = sent->second.node;
       const Asked& asked = record_.asked[sent->second.number];
       const Profile& profile = scene_.settings.profiles[asked.profile];
@@ -376,7 +414,8 @@
       auto answer = [&](Outcome what) {
         events_.at(now_ + scene_.fleet.delay, [&gate, number, what] { gate.over(number, what); });
       };
-      if (!machine.model.up) return answer(Outcome::connectFailed);
+      if (!machine.model.up)
+        return answer(Outcome::connectFailed);
       if (machine.model.failing)
         return mark(Mark::ran, gate, sent->second.number, node), answer(Outcome::error);
       Running one{number,          asked.work, asked.work, scene_.work[asked.profile].memoryMb,
@@ -391,12 +430,15 @@
     Machine& machine = *engines_[node];
     uint64_t version = ++machine.version;
     auto at = machine.model.nextEnd();
-    if (!at) return;
+    if (!at)
+      return;
     events_.at(std::max(now_, *at), [this, node, version] {
-      if (engines_[node]->version != version) return;
+      if (engines_[node]->version != version)
+        return;
       for (auto& one : engines_[node]->model.finished(now_)) {
         auto place = places_.extract(one.send);
-        if (place.empty() || engines_[node]->model.silent) continue;
+        if (place.empty() || engines_[node]->model.silent)
+          continue;
         Gate* gate = place.mapped();
         const Engine& model = engines_[node]->model;
         double used = std::min(1.0, model.threads() / scene_.fleet.kind.cores);
@@ -421,7 +463,8 @@
   void list(const std::vector<uint32_t>& nodes, NodeState state, double lag) {
     events_.at(now_ + lag, [this, nodes, state] {
       ListEvent event;
-      for (uint32_t node : nodes) event.rows.push_back(listingOf(node, state));
+      for (uint32_t node : nodes)
+        event.rows.push_back(listingOf(node, state));
       for (auto& gate : gates_) {
         for (uint32_t node : nodes)
           mark(state == NodeState::inService ? Mark::told : Mark::drained, *gate, 0, node);
@@ -439,7 +482,8 @@
   std::vector<uint32_t> nodesOf(const Trouble& trouble) const {
     std::vector<uint32_t> nodes;
     for (uint32_t node = 0; node < engines_.size(); ++node)
-      if (trouble.zone.empty() || trouble.zone == zoneOf(node)) nodes.push_back(node);
+      if (trouble.zone.empty() || trouble.zone == zoneOf(node))
+        nodes.push_back(node);
     nodes.resize(size_t(std::ceil(trouble.part * double(nodes.size()) - 1e-9)));
     return nodes;
   }
@@ -454,7 +498,8 @@
     list(nodes, NodeState::gone, scene_.fleet.listLag);
   }
   void start(const std::vector<uint32_t>& nodes) {  // cold
-    for (uint32_t node : nodes) engines_[node]->model.start(now_, true), wakeMachine(node);
+    for (uint32_t node : nodes)
+      engines_[node]->model.start(now_, true), wakeMachine(node);
     list(nodes, NodeState::inService, scene_.fleet.listLag);
   }
   // A part of them after the other is drained, ends and comes back cold.
@@ -471,15 +516,21 @@
     }
   }
   void begin(const Trouble& trouble) {
-    if (trouble.kind == "roll") return roll(trouble);
+    if (trouble.kind == "roll")
+      return roll(trouble);
     auto nodes = nodesOf(trouble);
-    if (trouble.kind == "drain") list(nodes, NodeState::draining, 0);
-    if (trouble.kind == "lose") stop(nodes);
+    if (trouble.kind == "drain")
+      list(nodes, NodeState::draining, 0);
+    if (trouble.kind == "lose")
+      stop(nodes);
     for (uint32_t node : nodes) {
       Engine& engine = engines_[node]->model;
-      if (trouble.kind == "slow") engine.slow(now_, trouble.times);
-      if (trouble.kind == "silent") engine.silent = true;
-      if (trouble.kind == "failing") engine.failing = true;
+      if (trouble.kind == "slow")
+        engine.slow(now_, trouble.times);
+      if (trouble.kind == "silent")
+        engine.silent = true;
+      if (trouble.kind == "failing")
+        engine.failing = true;
       wakeMachine(node);
     }
     for (auto& gate : gates_) {
@@ -489,13 +540,18 @@
   }
   void end(const Trouble& trouble) {
     auto nodes = nodesOf(trouble);
-    if (trouble.kind == "lose") start(nodes);
-    if (trouble.kind == "drain") list(nodes, NodeState::inService, 0);
+    if (trouble.kind == "lose")
+      start(nodes);
+    if (trouble.kind == "drain")
+      list(nodes, NodeState::inService, 0);
     for (uint32_t node : nodes) {
       Engine& engine = engines_[node]->model;
-      if (trouble.kind == "slow") engine.slow(now_, 1);
-      if (trouble.kind == "silent") engine.silent = false;
-      if (trouble.kind == "failing") engine.failing = false;
+      if (trouble.kind == "slow")
+        engine.slow(now_, 1);
+      if (trouble.kind == "silent")
+        engine.silent = false;
+      if (trouble.kind == "failing")
+        engine.failing = false;
       wakeMachine(node);
     }
   }
@@ -522,12 +578,18 @@
 }  // namespace
 
 Variant variantNamed(const std::string& name) {
-  if (name == "plain") return {name, Deciding::module, false, true};
-  if (name == "apart") return {name, Deciding::module, true, true, false};
-  if (name == "whole") return {name, Deciding::module, true, true, true, false};
-  if (name == "calm") return {name, Deciding::module, true, false};
-  if (name == "random") return {name, Deciding::random, false, true};
-  if (name == "fifo") return {name, Deciding::fifo, false, true};
+  if (name == "plain")
+    return {name, Deciding::module, false, true};
+  if (name == "apart")
+    return {name, Deciding::module, true, true, false};
+  if (name == "whole")
+    return {name, Deciding::module, true, true, true, false};
+  if (name == "calm")
+    return {name, Deciding::module, true, false};
+  if (name == "random")
+    return {name, Deciding::random, false, true};
+  if (name == "fifo")
+    return {name, Deciding::fifo, false, true};
   return {name, Deciding::module, true, true};
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -31,7 +31,8 @@
 int signalDescriptor() {
   sigset_t heeded;
   sigemptyset(&heeded);
-  for (int one : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&heeded, one);
+  for (int one : {SIGTERM, SIGINT, SIGHUP})
+    sigaddset(&heeded, one);
   sigprocmask(SIG_BLOCK, &heeded, nullptr);
   signal(SIGPIPE, SIG_IGN);  // a log reader that has gone must not end us
   return signalfd(-1, &heeded, SFD_NONBLOCK | SFD_CLOEXEC);
@@ -50,23 +51,32 @@
     Log::filter(options.level.value_or(config.log));
     info() << "configuration: read again";
     discovery.follow(config.changeLog);
-  } catch (const std::exception& fault) { warn() << "configuration: the old one stays: " << fault.what(); }
-  if (options.gateway.empty()) return;
+  } catch (const std::exception& fault) {
+    warn() << "configuration: the old one stays: " << fault.what();
+  }
+  if (options.gateway.empty())
+    return;
   try {
     GatewayConfig own = ownConfig(options);
     dispatcher.change(own.budgets);
     if (own.members.has_value() != started.members.has_value())
       warn() << "members: as they were: they are switched at a start alone";
-    if (own.view != started.view) warn() << "view: as it was: it changes at a start alone";
-  } catch (const std::exception& fault) { warn() << "gateway: the old one stays: " << fault.what(); }
+    if (own.view != started.view)
+      warn() << "view: as it was: it changes at a start alone";
+  } catch (const std::exception& fault) {
+    warn() << "gateway: the old one stays: " << fault.what();
+  }
 }
 
 Task heedSignals(const Options& options, const Descriptor& signals, Signal& signal, Discovery& discovery,
                  Dispatcher& dispatcher, Door& door, const GatewayConfig& started) {
   for (signalfd_siginfo heard;;) {
-    while (read(signals.fd(), &heard, sizeof heard) != sizeof heard) co_await signal;
-    if (heard.ssi_signo == SIGHUP) readAgain(options, discovery, dispatcher, started);
-    else door.drain();
+    while (read(signals.fd(), &heard, sizeof heard) != sizeof heard)
+      co_await signal;
+    if (heard.ssi_signo == SIGHUP)
+      readAgain(options, discovery, dispatcher, started);
+    else
+      door.drain();
   }
 }
 
@@ -82,7 +92,8 @@
 
 // All of a fleet must reckon with the same number of dispatchers, or an engine's users differ.
 std::unique_ptr<view::View> viewOf(const GatewayConfig& own, const Settings& settings) {
-  if (!own.view) return nullptr;
+  if (!own.view)
+    return nullptr;
   if (own.members && int(own.members->peers.size()) != settings.gateways)
     throw view::Error(view::Wrong::countsDiffer,
                       "settings.balancers is " + std::to_string(settings.gateways) +
@@ -106,12 +117,14 @@
     config.sockets = std::min<size_t>(config.sockets, held.rlim_cur);
   auto seen = viewOf(own, config.settings);
   std::optional<Settings> local;
-  if (seen) local = seen->local();
+  if (seen)
+    local = seen->local();
   Clock clock;
   Scheduler scheduler(clock);
   std::unique_ptr<Control> control;
   std::optional<Sharing> sharing;
-  if (own.shared) sharing = Sharing{*own.shared, budget::fleetRates(*own.budgets)};
+  if (own.shared)
+    sharing = Sharing{*own.shared, budget::fleetRates(*own.budgets)};
   if (own.members)
     control = std::make_unique<Control>(clock, *own.members, config.name, config.seed, sharing);
   Signal signal(scheduler);
@@ -124,11 +137,13 @@
   discovery.start(std::exchange(config.known, {}));
   std::optional<Timer> look;
   auto heed = [&] { heedShared(*control, dispatcher, *look, clock); };
-  if (sharing) look.emplace(scheduler, heed), heed();  // in force before the first command is taken
+  if (sharing)
+    look.emplace(scheduler, heed), heed();  // in force before the first command is taken
   door.open();
   Task heeding = heedSignals(options, signals, signal, discovery, dispatcher, door, own);
   heeding.start();
-  if (control) control->watch(scheduler);
+  if (control)
+    control->watch(scheduler);
   info() << config.name << ": listens on " << textOf(config.listen);
   scheduler.run();
   if (control && !control->stop()) {
@@ -140,16 +155,22 @@
 // All faults of all files, a line each on standard output; 1 if there are any.
 int check(const std::vector<std::string>& paths) {
   std::vector<std::string> faults;
-  for (auto& path : paths) try {
+  for (auto& path : paths)
+    try {
       Json document = readJson(path);
       // The platform's file names what it is for; all else is ours.
       bool platforms = document.is_object() && (document.contains("settings") || document.contains("listen"));
-      if (platforms) readConfig(document);
-      else readGateway(document, path);
+      if (platforms)
+        readConfig(document);
+      else
+        readGateway(document, path);
     } catch (const Faults& found) {
       faults.insert(faults.end(), found.lines.begin(), found.lines.end());
-    } catch (const std::exception& fault) { faults.push_back(path + ": " + fault.what()); }
-  for (auto& fault : faults) std::cout << fault << '\n';
+    } catch (const std::exception& fault) {
+      faults.push_back(path + ": " + fault.what());
+    }
+  for (auto& fault : faults)
+    std::cout << fault << '\n';
   if (faults.empty())
     std::cout << paths.size() << (paths.size() == 1 ? " file is" : " files are") << " sound\n";
   return faults.empty() ? 0 : 1;
@@ -174,7 +195,8 @@
   checking->add_option("FILE", options.checked, "a configuration, or a gateway file")->required();
   app.require_subcommand(0, 1);
   CLI11_PARSE(app, count, words);
-  if (checking->parsed()) return check(options.checked);
+  if (checking->parsed())
+    return check(options.checked);
   serve(options);
   return 0;
 }
@@ -186,7 +208,10 @@
   try {
     return elmcleat::run(count, words);
   } catch (const elmcleat::Faults& faults) {
-    for (auto& line : faults.lines) std::cerr << "elmcleat: " << line << std::endl;
-  } catch (const std::exception& fault) { std::cerr << "elmcleat: " << fault.what() << std::endl; }
+    for (auto& line : faults.lines)
+      std::cerr << "elmcleat: " << line << std::endl;
+  } catch (const std::exception& fault) {
+    std::cerr << "elmcleat: " << fault.what() << std::endl;
+  }
   return 1;
 }
