--- a/src/members/core.cpp
+++ b/src/members/core.cpp
@@ -39,7 +39,8 @@
 }
 uint64_t hashOfName(const std::string& name) {  // FNV-1a: the same in all versions
   uint64_t hash = 0xcbf29ce484222325u;
-  for (unsigned char c : name) hash = (hash ^ c) * 0x100000001b3u;
+  for (unsigned char c : name)
+    hash = (hash ^ c) * 0x100000001b3u;
   return mixed(hash);
 }
 
@@ -53,7 +54,8 @@
       now_(now),
       startedAt_(now),
       records_(plan.peers.size()) {
-  for (auto& peer : plan_.peers) nameHashes_.push_back(hashOfName(peer.name));
+  for (auto& peer : plan_.peers)
+    nameHashes_.push_back(hashOfName(peer.name));
   promisesFrom_ =
       now + kGuard * plan_.longestPromise;  // whatever an earlier life of ours promised is over then
   heardAt_ = now;
@@ -66,22 +68,26 @@
 void Core::tick(double now) {
   noticeStall(now);
   now_ = now;
-  if (aside_) return;
+  if (aside_)
+    return;
   for (Member one : suspected_) {
-    if (!at(one).suspicion || now_ < suspectedUntil(at(one))) continue;
+    if (!at(one).suspicion || now_ < suspectedUntil(at(one)))
+      continue;
     Claim down = at(one).claim;
     down.state = State::down;
     settle({one, down}, self_);
   }
   std::erase_if(suspected_, [&](Member one) { return !at(one).suspicion; });
-  while (!errands_.empty() && now_ >= errands_.front().endsAt) errands_.pop_front();
+  while (!errands_.empty() && now_ >= errands_.front().endsAt)
+    errands_.pop_front();
   for (auto& errand : errands_)
     if (!errand.nacked && now_ >= errand.nackAt) {
       errand.nacked = true;
       say(Kind::nack, errand.asker).probe = errand.askersNumber;
     }
   for (auto& probe : probing_) {
-    if (probe.asked || now_ < probe.askAt) continue;
+    if (probe.asked || now_ < probe.askAt)
+      continue;
     probe.asked = true;
     for (Member helper : drawn(kAskers, State::alive, probe.member)) {
       Message& ask = say(Kind::ask, helper);
@@ -93,12 +99,14 @@
                                     [&](auto& probe) { return now_ < probe.endsAt; });
   std::vector<Probe> late(over, probing_.end());
   probing_.erase(over, probing_.end());
-  for (auto& probe : late) failed(probe);
+  for (auto& probe : late)
+    failed(probe);
   if (now_ >= nextProbe_) {
     double each = plan_.period * (alarmed() ? kAlarmed : 1);
     nextProbe_ = std::max(nextProbe_ + each, now_ + each / 2);
     probe();
-    if (now_ >= nextReach_) nextReach_ = now_ + plan_.period, reachOut(there_ <= 1 ? kAskers : 1);
+    if (now_ >= nextReach_)
+      nextReach_ = now_ + plan_.period, reachOut(there_ <= 1 ? kAskers : 1);
   }
   if (now_ >= nextGossip_) {
     nextGossip_ = now_ + kGossip * plan_.period;
@@ -111,12 +119,16 @@
 }
 
 double Core::wakes() const {
-  if (aside_) return now_ + plan_.period;  // or the next tick would take the time between for a stall
+  if (aside_)
+    return now_ + plan_.period;  // or the next tick would take the time between for a stall
   double at = std::min(nextProbe_, nextGossip_);
-  for (auto& probe : probing_) at = std::min({at, probe.asked ? HUGE_VAL : probe.askAt, probe.endsAt});
-  for (auto& errand : errands_) at = std::min(at, errand.nacked ? errand.endsAt : errand.nackAt);
+  for (auto& probe : probing_)
+    at = std::min({at, probe.asked ? HUGE_VAL : probe.askAt, probe.endsAt});
+  for (auto& errand : errands_)
+    at = std::min(at, errand.nacked ? errand.endsAt : errand.nackAt);
   for (Member one : suspected_)
-    if (auto& record = this->at(one); record.suspicion) at = std::min(at, suspectedUntil(record));
+    if (auto& record = this->at(one); record.suspicion)
+      at = std::min(at, suspectedUntil(record));
   return at;
 }
 
@@ -125,10 +137,12 @@
 // whole fleet down. Hurts by detecting a member that failed in that time a little later.
 void Core::noticeStall(double now) {
   double stood = now - now_;
-  if (stood < kStall * plan_.period) return;
+  if (stood < kStall * plan_.period)
+    return;
   probing_.clear(), errands_.clear();
   for (auto& record : records_)
-    if (record.suspicion) record.suspicion->since += stood;
+    if (record.suspicion)
+      record.suspicion->since += stood;
   heardAt_ += stood;
   nextProbe_ = nextGossip_ = nextCompare_ = now;
   strain_ = std::min(strain_ + 1, kStrainMost);
@@ -139,8 +153,10 @@
 // --- what comes
 void Core::hear(double now, const Message& message) {
   tick(now);
-  if (message.from == self_) return wrong(Wrong::twoUnderOneName);
-  if (message.to != self_) return wrong(Wrong::misdirected);
+  if (message.from == self_)
+    return wrong(Wrong::twoUnderOneName);
+  if (message.to != self_)
+    return wrong(Wrong::misdirected);
   Member from = message.from;
   Record& sender = at(from);
   if (!fresh(message)) {
@@ -153,7 +169,8 @@
     return wrong(Wrong::replayed);
   }
   sender.heardAt = heardAt_ = now_;
-  if (aside_) return;
+  if (aside_)
+    return;
   sender.said = {message.instance, message.incarnation, State::alive};
   // One comes back that was down and did not start anew: a cut has healed, and there may be more behind it.
   if (sender.claim.state == State::down && sender.claim.instance == message.instance)
@@ -161,10 +178,12 @@
   uint64_t before = changes_;
   merge({from, sender.said}, from);
   for (auto& row : message.rows)
-    if (row.member >= 0) merge(row, from);
+    if (row.member >= 0)
+      merge(row, from);
   if (changes_ - before > kMuch)
     nextCompare_ = std::min(nextCompare_, now_ + kCompareSoon * plan_.period * chance_.between(0.5, 1.5));
-  if (aside_) return;
+  if (aside_)
+    return;
   switch (message.kind) {
     case Kind::ping: {
       Message& ack = say(Kind::ack, from);
@@ -173,7 +192,8 @@
       break;
     }
     case Kind::ask: {
-      if (message.subject < 0 || message.subject == self_ || errands_.size() >= kErrands) break;
+      if (message.subject < 0 || message.subject == self_ || errands_.size() >= kErrands)
+        break;
       Errand errand{++probes_, from, message.probe, now_ + kNackIn * plan_.period, now_ + plan_.period};
       errands_.push_back(errand);
       Message& ping = say(Kind::ping, message.subject);
@@ -194,13 +214,15 @@
     }
     case Kind::nack:
       for (auto& probe : probing_)
-        if (probe.number == message.probe && probe.nacksDue > 0) --probe.nacksDue;
+        if (probe.number == message.probe && probe.nacksDue > 0)
+          --probe.nacksDue;
       break;
     case Kind::compare:
       answerCompare(message);
       break;
     case Kind::rows:
-      if (!message.sums.empty()) answerCompare(message);
+      if (!message.sums.empty())
+        answerCompare(message);
       break;
     case Kind::parcel:
       parcels_.push_back({from, message.parcel});
@@ -210,14 +232,17 @@
   }
   // Two that know different things mend it: what gossip lost, and all that a join or a healed cut brings.
   bool mends = message.kind == Kind::ping || message.kind == Kind::ack || message.kind == Kind::news;
-  if (mends && message.digest != digest() && now_ >= nextCompare_) compare(from);
-  if (message.digest == digest()) hush();
+  if (mends && message.digest != digest() && now_ >= nextCompare_)
+    compare(from);
+  if (message.digest == digest())
+    hush();
 }
 
 // A window of sequences for the life that was heard last. What is older than that, or was heard before, is a copy.
 bool Core::fresh(const Message& message) {
   Record& sender = at(message.from);
-  if (message.instance < sender.heardInstance) return false;
+  if (message.instance < sender.heardInstance)
+    return false;
   if (message.instance > sender.heardInstance) {
     sender.heardInstance = message.instance, sender.top = message.sequence, sender.window = 1;
     return true;
@@ -229,7 +254,8 @@
     return true;
   }
   uint64_t back = sender.top - message.sequence;
-  if (back >= 64 || sender.window >> back & 1) return false;
+  if (back >= 64 || sender.window >> back & 1)
+    return false;
   sender.window |= uint64_t{1} << back;
   return true;
 }
@@ -239,13 +265,18 @@
   const Claim& claim = row.claim;
   Record& record = at(row.member);
   if (row.member != self_) {
-    if (claim > record.claim) return settle(row, teller);
-    if (claim == record.claim && record.suspicion && row.by >= 0) speakUp(record, row.by);
+    if (claim > record.claim)
+      return settle(row, teller);
+    if (claim == record.claim && record.suspicion && row.by >= 0)
+      speakUp(record, row.by);
     return;
   }
-  if (claim <= own()) return;
-  if (claim.instance != life_.instance) return contest(claim);
-  if (claim.state != State::alive) strain_ = std::min(strain_ + 1, kStrainMost);  // did we miss their pings?
+  if (claim <= own())
+    return;
+  if (claim.instance != life_.instance)
+    return contest(claim);
+  if (claim.state != State::alive)
+    strain_ = std::min(strain_ + 1, kStrainMost);  // did we miss their pings?
   life_.incarnation = claim.incarnation + 1;
   settle({self_, own()}, self_);
 }
@@ -259,7 +290,8 @@
   digest_ += hashOf(row.member);
   there_ = there_ + size_t(record.claim.there()) - size_t(was.there());
   tell(row.member, tellingsEach());
-  if (claim.state != State::suspect) record.suspicion.reset();
+  if (claim.state != State::suspect)
+    record.suspicion.reset();
   else if (!record.suspicion || was.incarnation != claim.incarnation) {
     if (!record.suspicion && std::ranges::find(suspected_, row.member) == suspected_.end())
       suspected_.push_back(row.member);
@@ -271,7 +303,8 @@
   }
   if (row.member != self_ && (claim.state == State::suspect || claim.state == State::down))
     alarmedUntil_ = now_ + kAlarm * plan_.period;
-  if (row.member == self_ || (was.state == claim.state && was.instance == claim.instance)) return;
+  if (row.member == self_ || (was.state == claim.state && was.instance == claim.instance))
+    return;
   std::string why =
       teller == self_ ? "as seen from here" : "as " + plan_.peers[size_t(teller)].name + " tells";
   events_.push_back({row.member, claim.state, {}, why});
@@ -297,15 +330,18 @@
 
 void Core::suspect(Member member) {
   Claim claim = at(member).claim;
-  if (claim.state == State::suspect) return speakUp(at(member), self_);
-  if (claim.state != State::alive) return;
+  if (claim.state == State::suspect)
+    return speakUp(at(member), self_);
+  if (claim.state != State::alive)
+    return;
   claim.state = State::suspect;
   settle({member, claim, self_}, self_);
 }
 
 void Core::speakUp(Record& record, Member by) {
   auto& known = record.suspicion->by;
-  if (known.size() > kConfirm || std::ranges::find(known, by) != known.end()) return;
+  if (known.size() > kConfirm || std::ranges::find(known, by) != known.end())
+    return;
   known.push_back(by);
   tell(Member(&record - records_.data()), tellingsEach());  // so that others' time shrinks as well
 }
@@ -325,13 +361,17 @@
   for (size_t tries = 0; tries <= records_.size(); ++tries) {
     if (round_.empty()) {
       for (size_t i = 0; i < records_.size(); ++i)
-        if (Member(i) != self_ && records_[i].claim.there()) round_.push_back(Member(i));
-      if (round_.empty()) return;
-      for (size_t i = round_.size() - 1; i > 0; --i) std::swap(round_[i], round_[chance_.next() % (i + 1)]);
+        if (Member(i) != self_ && records_[i].claim.there())
+          round_.push_back(Member(i));
+      if (round_.empty())
+        return;
+      for (size_t i = round_.size() - 1; i > 0; --i)
+        std::swap(round_[i], round_[chance_.next() % (i + 1)]);
     }
     Member next = round_.back();
     round_.pop_back();
-    if (!at(next).claim.there()) continue;
+    if (!at(next).claim.there())
+      continue;
     double stretch = 1 + strain_;
     probing_.push_back(
         {++probes_, next, now_ + kAnswerIn * plan_.period * stretch, now_ + plan_.period * stretch});
@@ -345,7 +385,8 @@
 void Core::failed(const Probe& probe) {
   // When none of those that were asked says anything either, it points at us. One that says nothing may be down itself:
   // counted each, as Lifeguard does, a tenth of the fleet that dies slows all others' judgement of it.
-  if (probe.helpers > 0 && probe.nacksDue == probe.helpers) strain_ = std::min(strain_ + 1, kStrainMost);
+  if (probe.helpers > 0 && probe.nacksDue == probe.helpers)
+    strain_ = std::min(strain_ + 1, kStrainMost);
   suspect(probe.member);
 }
 
@@ -366,7 +407,8 @@
 int Core::tellingsEach() const { return int(std::ceil(kTellings * std::log2(double(there_) + 1))); }
 
 void Core::tell(Member member, int times) {
-  if (at(member).tellings <= 0) told_.push_back(member);
+  if (at(member).tellings <= 0)
+    told_.push_back(member);
   at(member).tellings = std::max(at(member).tellings, times);
 }
 
@@ -374,14 +416,18 @@
 // suspected stands in no digest, and is told on.
 void Core::hush() {
   for (Member member : told_)
-    if (!at(member).suspicion) --at(member).tellings;
+    if (!at(member).suspicion)
+      --at(member).tellings;
   std::erase_if(told_, [&](Member member) { return at(member).tellings <= 0; });
 }
 
 void Core::gossip() {
-  if (now_ < healingUntil_) reachOut(kHealTo);
-  if (told_.empty()) return;
-  for (Member to : drawn(kGossipTo, State::suspect)) addNews(say(Kind::news, to), to);
+  if (now_ < healingUntil_)
+    reachOut(kHealTo);
+  if (told_.empty())
+    return;
+  for (Member to : drawn(kGossipTo, State::suspect))
+    addNews(say(Kind::news, to), to);
 }
 
 // The news told least often goes first; and, before all, what is said of whom this goes to, where it says otherwise of
@@ -391,19 +437,23 @@
   auto add = [&](Member member) {
     Record& record = at(member);
     bytes += kRowBytes + 2 * plan_.peers[size_t(member)].name.size();
-    if (bytes > kDatagram) return false;
+    if (bytes > kDatagram)
+      return false;
     Row& row = message.rows.emplace_back(Row{member, record.claim});
     if (record.suspicion)
       row.by = record.suspicion->by[record.suspicion->next++ % record.suspicion->by.size()];
     return true;
   };
-  if (first >= 0 && at(first).claim > at(first).said) add(first);
+  if (first >= 0 && at(first).claim > at(first).said)
+    add(first);
   size_t most = std::min<size_t>(told_.size(), kDatagram / kRowBytes);
   std::ranges::partial_sort(told_, told_.begin() + long(most), {},
                             [&](Member one) { return std::pair(-at(one).tellings, one); });
   for (size_t i = 0; i < most; ++i) {
-    if (told_[i] == first && !message.rows.empty()) continue;
-    if (!add(told_[i])) break;
+    if (told_[i] == first && !message.rows.empty())
+      continue;
+    if (!add(told_[i]))
+      break;
     --at(told_[i]).tellings;
   }
   std::erase_if(told_, [&](Member member) { return at(member).tellings <= 0; });
@@ -413,10 +463,13 @@
   std::vector<Member> picked;
   for (size_t tries = 0; picked.size() < count && tries < 6 * count; ++tries) {
     Member one = Member(chance_.next() % records_.size());
-    if (one == self_ || one == but || !at(one).claim.heard() || at(one).claim.state > most) continue;
-    if (std::ranges::find(picked, one) == picked.end()) picked.push_back(one);
+    if (one == self_ || one == but || !at(one).claim.heard() || at(one).claim.state > most)
+      continue;
+    if (std::ranges::find(picked, one) == picked.end())
+      picked.push_back(one);
   }
-  if (!picked.empty() || there_ <= 1) return picked;
+  if (!picked.empty() || there_ <= 1)
+    return picked;
   for (size_t i = 0; i < records_.size() && picked.size() < count; ++i)  // few are there: draws seldom hit
     if (Member(i) != self_ && Member(i) != but && records_[i].claim.heard() &&
         records_[i].claim.state <= most)
@@ -447,15 +500,18 @@
 
 void Core::leave(double now) {
   tick(now);
-  if (aside_ || std::exchange(leaving_, true)) return;
+  if (aside_ || std::exchange(leaving_, true))
+    return;
   settle({self_, own()}, self_);
-  for (Member to : drawn(2 * kAskers, State::suspect)) addNews(say(Kind::news, to), to);
+  for (Member to : drawn(2 * kAskers, State::suspect))
+    addNews(say(Kind::news, to), to);
 }
 
 // --- mending: 64 sums of what is known by bucket; the rows of those that differ go both ways
 uint64_t Core::hashOf(Member member) const {
   const Claim& claim = at(member).claim;
-  if (!claim.heard()) return 0;
+  if (!claim.heard())
+    return 0;
   State state = claim.state == State::suspect ? State::alive : claim.state;  // suspicions come and go
   return mixed(nameHashes_[size_t(member)] ^
                mixed(claim.instance ^ mixed(claim.incarnation << 2 | uint64_t(state))));
@@ -465,7 +521,8 @@
 
 std::vector<uint64_t> Core::sums() const {
   std::vector<uint64_t> sums(kBuckets);
-  for (size_t i = 0; i < records_.size(); ++i) sums[bucketOf(Member(i))] += hashOf(Member(i));
+  for (size_t i = 0; i < records_.size(); ++i)
+    sums[bucketOf(Member(i))] += hashOf(Member(i));
   return sums;
 }
 
@@ -475,20 +532,24 @@
 }
 
 void Core::answerCompare(const Message& message) {
-  if (message.sums.size() != kBuckets) return;  // of another version: gossip alone mends then
+  if (message.sums.size() != kBuckets)
+    return;  // of another version: gossip alone mends then
   auto mine = sums();
   Message& answer = say(Kind::rows, message.from);
   for (size_t i = 0; i < records_.size(); ++i)
     if (records_[i].claim.heard() && mine[bucketOf(Member(i))] != message.sums[bucketOf(Member(i))])
       answer.rows.push_back(
           {Member(i), records_[i].claim, records_[i].suspicion ? records_[i].suspicion->by[0] : kNobody});
-  if (message.kind == Kind::compare) answer.sums = std::move(mine);
-  if (answer.rows.empty() && answer.sums.empty()) out_.pop_back();
+  if (message.kind == Kind::compare)
+    answer.sums = std::move(mine);
+  if (answer.rows.empty() && answer.sums.empty())
+    out_.pop_back();
 }
 
 // --- what is asked of it
 void Core::post(Member to, std::string bytes) {
-  if (!aside_) say(Kind::parcel, to).parcel = std::move(bytes);
+  if (!aside_)
+    say(Kind::parcel, to).parcel = std::move(bytes);
 }
 
 std::vector<Message> Core::out() { return std::exchange(out_, {}); }
@@ -498,7 +559,8 @@
   View view;
   view.at = now, view.number = ++views_, view.self = self_, view.aside = aside_, view.alone = alone_;
   view.promisesFrom = promisesFrom_, view.there = there_, view.digest = digest();
-  for (auto& record : records_) view.members.push_back({record.claim, record.heardAt});
+  for (auto& record : records_)
+    view.members.push_back({record.claim, record.heardAt});
   view.wrong = wrong_;
   return view;
 }
--- a/src/members/plan.cpp
+++ b/src/members/plan.cpp
@@ -13,7 +13,8 @@
     if (auto [known, fresh] = names.emplace(name, i); !fresh)
       flaws.push_back({key + ".name", "'" + name + "' is there already, as peers[" +
                                           std::to_string(known->second) + "]; each name is one process"});
-    if (at.port == 0) continue;  // told already, as no address
+    if (at.port == 0)
+      continue;  // told already, as no address
     if (auto [known, fresh] = places.emplace(textOf(at), i); !fresh)
       flaws.push_back({key + ".at", textOf(at) + " is that of peers[" + std::to_string(known->second) +
                                         "]; each process needs an address of its own"});
--- a/src/members/shell.cpp
+++ b/src/members/shell.cpp
@@ -22,9 +22,11 @@
 
 int bound(const Address& address) {
   int fd = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) throw std::system_error(errno, std::generic_category(), "socket");
+  if (fd < 0)
+    throw std::system_error(errno, std::generic_category(), "socket");
   sockaddr_in native = nativeOf(address);
-  if (::bind(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) == 0) return fd;
+  if (::bind(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) == 0)
+    return fd;
   int fault = errno;
   ::close(fd);
   throw std::system_error(fault, std::generic_category(), "bind");
@@ -81,13 +83,16 @@
 void Shell::readDatagrams() {
   static thread_local char bytes[kLargest];
   for (size_t count = 0; datagrams_->news(); ++count) {
-    if (count == kMostRead) return signal_.raise();
+    if (count == kMostRead)
+      return signal_.raise();
     sockaddr_in from{};
     socklen_t size = sizeof from;
     ssize_t got =
         ::recvfrom(datagrams_->fd(), bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&from), &size);
-    if (got >= 0) heard({bytes, size_t(got)}, ntohl(from.sin_addr.s_addr), ntohs(from.sin_port));
-    else if (errno == EAGAIN) datagrams_->readAll();
+    if (got >= 0)
+      heard({bytes, size_t(got)}, ntohl(from.sin_addr.s_addr), ntohs(from.sin_port));
+    else if (errno == EAGAIN)
+      datagrams_->readAll();
     // Any other fault is what became of a datagram of ours (nobody listens there), and taken off the socket by this.
   }
 }
@@ -98,7 +103,8 @@
     socklen_t size = sizeof from;
     int fd =
         ::accept4(listener_->fd(), reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (fd < 0) return;
+    if (fd < 0)
+      return;
     auto& link = *links_.emplace_back(std::make_unique<Link>(scheduler_, signal_));
     link.host = ntohl(from.sin_addr.s_addr);
     link.late.set(scheduler_.now() + kLinkTime);
@@ -109,8 +115,10 @@
 // One message a stream: its length in 4 bytes, big-endian, then its bytes, then the end.
 void Shell::serve(Link& link) {
   if (link.ours) {
-    if (!link.stream.connected()) return;
-    if (!link.out.empty()) link.stream.write(std::exchange(link.out, {}));
+    if (!link.stream.connected())
+      return;
+    if (!link.out.empty())
+      link.stream.write(std::exchange(link.out, {}));
     link.stream.flush();
     link.stream.fill();  // whoever has read it all closes
     return;
@@ -119,7 +127,8 @@
   std::string& in = link.stream.in();
   if (in.size() >= 4) {
     size_t length = 0;
-    for (size_t i = 0; i < 4; ++i) length = length << 8 | static_cast<unsigned char>(in[i]);
+    for (size_t i = 0; i < 4; ++i)
+      length = length << 8 | static_cast<unsigned char>(in[i]);
     if (length > kMostBytes) {
       wrong(Wrong::tooLarge, textOf({link.host, 0}), "a stream announces more than a message may have");
       return link.stream.end(CloseReason::overfull);
@@ -137,7 +146,8 @@
 void Shell::heard(std::string_view bytes, uint32_t host, uint16_t port) {
   auto read = wire_.read(bytes);
   std::string from = textOf({host, port});
-  if (auto* kind = std::get_if<Wrong>(&read)) return wrong(*kind, from, "a message was dropped");
+  if (auto* kind = std::get_if<Wrong>(&read))
+    return wrong(*kind, from, "a message was dropped");
   auto& message = std::get<Message>(read);
   const Address& at = plan_.peers[size_t(message.from)].at;
   if (at.host != host || (port != 0 && at.port != port))
@@ -148,7 +158,8 @@
 void Shell::wrong(Wrong kind, const std::string& from, const char* what) {
   core_.wrong(kind);
   double now = scheduler_.now();
-  if (now < toldAt_[size_t(kind)] + kTellAgain) return;
+  if (now < toldAt_[size_t(kind)] + kTellAgain)
+    return;
   toldAt_[size_t(kind)] = now;
   warn() << lineOf(kind, what, from);
 }
@@ -171,7 +182,8 @@
     }
     auto& link = *links_.emplace_back(std::make_unique<Link>(scheduler_, signal_));
     link.ours = true;
-    for (int shift = 24; shift >= 0; shift -= 8) link.out += char(bytes.size() >> shift & 0xff);
+    for (int shift = 24; shift >= 0; shift -= 8)
+      link.out += char(bytes.size() >> shift & 0xff);
     link.out += bytes;
     link.late.set(scheduler_.now() + kLinkTime);
     link.stream.connect(to, here_);
--- a/src/members/wire.cpp
+++ b/src/members/wire.cpp
@@ -18,7 +18,8 @@
 std::string sumOf(std::string_view bytes) {
   uint64_t sum = checksum(bytes);
   std::string text(kSum, '\0');
-  for (size_t i = 0; i < kSum; ++i) text[i] = char(sum >> (8 * i) & 0xff);
+  for (size_t i = 0; i < kSum; ++i)
+    text[i] = char(sum >> (8 * i) & 0xff);
   return text;
 }
 
@@ -58,27 +59,37 @@
     claim.set_instance(row.claim.instance), claim.set_incarnation(row.claim.incarnation);
     claim.set_state(uint32_t(row.claim.state));
   }
-  for (uint64_t sum : message.sums) envelope.add_sums(sum);
+  for (uint64_t sum : message.sums)
+    envelope.add_sums(sum);
   envelope.set_parcel(message.parcel);
   std::string bytes = envelope.SerializeAsString();
   return sumOf(bytes) + bytes;
 }
 
 std::variant<Message, Wrong> Wire::read(std::string_view bytes) const {
-  if (bytes.size() > kMostBytes) return Wrong::tooLarge;
-  if (bytes.size() < kSum || sumOf(bytes.substr(kSum)) != bytes.substr(0, kSum)) return Wrong::undecodable;
+  if (bytes.size() > kMostBytes)
+    return Wrong::tooLarge;
+  if (bytes.size() < kSum || sumOf(bytes.substr(kSum)) != bytes.substr(0, kSum))
+    return Wrong::undecodable;
   bytes.remove_prefix(kSum);
   wire::Envelope envelope;
-  if (!envelope.ParseFromArray(bytes.data(), int(bytes.size()))) return Wrong::undecodable;
-  if (envelope.fleet() != fleet_) return Wrong::otherFleet;
-  if (envelope.reads() > kVersion) return Wrong::tooNew;
-  if (envelope.rows_size() > kMostRows || envelope.sums_size() > kMostSums) return Wrong::tooLarge;
+  if (!envelope.ParseFromArray(bytes.data(), int(bytes.size())))
+    return Wrong::undecodable;
+  if (envelope.fleet() != fleet_)
+    return Wrong::otherFleet;
+  if (envelope.reads() > kVersion)
+    return Wrong::tooNew;
+  if (envelope.rows_size() > kMostRows || envelope.sums_size() > kMostSums)
+    return Wrong::tooLarge;
   Message message;
   message.from = find(envelope.from()), message.to = find(envelope.to());
-  if (message.from < 0) return Wrong::stranger;
-  if (message.to < 0) return Wrong::misdirected;
+  if (message.from < 0)
+    return Wrong::stranger;
+  if (message.to < 0)
+    return Wrong::misdirected;
   // A kind that is not known here comes from a newer version, which says by `reads` when it must be understood.
-  if (envelope.kind() > uint32_t(kLastKind)) return Wrong::tooNew;
+  if (envelope.kind() > uint32_t(kLastKind))
+    return Wrong::tooNew;
   message.kind = Kind(envelope.kind());
   message.instance = envelope.instance(), message.incarnation = envelope.incarnation();
   message.sequence = envelope.sequence(), message.probe = envelope.probe();
@@ -86,13 +97,15 @@
   auto sound = [](uint64_t instance, uint64_t incarnation) {
     return instance > 0 && instance < kMostNumber && incarnation < kMostNumber;
   };
-  if (!sound(message.instance, message.incarnation)) return Wrong::undecodable;
+  if (!sound(message.instance, message.incarnation))
+    return Wrong::undecodable;
   for (auto& claim : envelope.rows()) {
     if (claim.state() > uint32_t(State::left) || !sound(claim.instance(), claim.incarnation()))
       return Wrong::undecodable;
     Row row{
         find(claim.name()), {claim.instance(), claim.incarnation(), State(claim.state())}, find(claim.by())};
-    if (row.member >= 0) message.rows.push_back(row);
+    if (row.member >= 0)
+      message.rows.push_back(row);
   }
   message.sums.assign(envelope.sums().begin(), envelope.sums().end());
   message.parcel = envelope.parcel();
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -76,12 +76,14 @@
   bool holds() const { return wakes() < HUGE_VAL; }
   double wakes() const {  // when the next leaf that holds something draws
     double at = fifo.empty() ? HUGE_VAL : wakeAt;
-    for (auto& c : children) at = std::min(at, c->wakes());
+    for (auto& c : children)
+      at = std::min(at, c->wakes());
     return at;
   }
   Turn& child(const std::string& who, double share) {
     for (auto& c : children)
-      if (c->name == who) return *c;
+      if (c->name == who)
+        return *c;
     Turn& made = *children.emplace_back(std::make_unique<Turn>());
     made.parent = this, made.name = who, made.weight = share;
     return made;
@@ -100,12 +102,15 @@
       double rounds = -1;
       for (size_t step = 0; step < slots; ++step) {
         size_t i = (cursor + step) % slots;
-        if (!live(i)) continue;
-        if (credit(i) > 0) return cursor = i, child(i) ? child(i)->next(now) : this;
+        if (!live(i))
+          continue;
+        if (credit(i) > 0)
+          return cursor = i, child(i) ? child(i)->next(now) : this;
         double need = std::floor(-credit(i) / quantum(i)) + 1;
         rounds = rounds < 0 ? need : std::min(rounds, need);
       }
-      if (rounds < 0) return nullptr;
+      if (rounds < 0)
+        return nullptr;
       for (size_t i = 0; i < slots; ++i)
         if (child(i) ? child(i)->holds() : !fifo.empty())
           credit(i) = std::min(credit(i) + rounds * quantum(i), kCredit * quantum(i));
@@ -115,7 +120,8 @@
   }
   void pay(double work) {
     ownDeficit -= work;
-    for (Turn* turn = this; turn->parent; turn = turn->parent) turn->deficit -= work;
+    for (Turn* turn = this; turn->parent; turn = turn->parent)
+      turn->deficit -= work;
   }
 };
 
@@ -187,15 +193,18 @@
   Core(const Settings& given, uint64_t seed, Outlet& to, Rights* over)
       : set(given), chance(seed), out(to), rights(over), salt(seed) {
     rows.resize(set.profiles.size());
-    for (size_t i = 0; i < rows.size(); ++i) rows[i].profile = &set.profiles[i];
-    for (auto& tenant : set.tenants) quotas += tenant.quota;
+    for (size_t i = 0; i < rows.size(); ++i)
+      rows[i].profile = &set.profiles[i];
+    for (auto& tenant : set.tenants)
+      quotas += tenant.quota;
     further = takenInSpan = TimeRing(std::max(set.furtherSpan, 0.001));
     loadsHold = std::ranges::any_of(rows, [](Row& r) { return r.profile->yields; });
   }
 
   void at(double time) override {
     now = time, openedAt = openedAt < 0 ? now : openedAt;
-    if (rights) rights->at(now);
+    if (rights)
+      rights->at(now);
   }
   double seen() const { return std::clamp(now - openedAt, 5.0, 20.0); }  // the span of taken and doneLong
   double share() const { return 1.0 / std::max(1, set.gateways); }
@@ -221,11 +230,13 @@
   // --- commands in and out
   std::shared_ptr<Command> take(const Arrival& arrival) override {
     auto row = std::ranges::find_if(rows, [&](Row& r) { return r.profile->name == arrival.profile; });
-    if (row == rows.end()) throw std::runtime_error("a command of an unknown profile: " + arrival.profile);
+    if (row == rows.end())
+      throw std::runtime_error("a command of an unknown profile: " + arrival.profile);
     auto cmd = std::make_shared<Cmd>(*this, *row);
     const Profile& profile = *row->profile;
     cmd->tables = arrival.tables;
-    if (profile.ordered) cmd->key = arrival.key;
+    if (profile.ordered)
+      cmd->key = arrival.key;
     cmd->estimate = arrival.work, cmd->estimateMb = arrival.memoryMb, cmd->worth = profile.benefit;
     double guess = row->usualWork > 0 ? row->usualWork : profile.target * profile.threads / 2;
     cmd->work = std::max(arrival.work > 0 ? arrival.work * row->workRatio : guess, 1e-4);
@@ -238,10 +249,14 @@
       drift(row->usualWork, cmd->work), drift(usualWork, cmd->work), drift(usualRun, cmd->run()),
           usualMb += mb * std::min(1.0, kLearn * cmd->work / usualWork);
     taken.add(now, 1), takenInSpan.add(now, 1);
-    if (rights) rights->take(*cmd, arrival);
-    else cmd->leaf = &leafFor(arrival, *cmd);
-    if (cmd->key) keys[*cmd->key].line.push_back(cmd);
-    else hold(*cmd, false);
+    if (rights)
+      rights->take(*cmd, arrival);
+    else
+      cmd->leaf = &leafFor(arrival, *cmd);
+    if (cmd->key)
+      keys[*cmd->key].line.push_back(cmd);
+    else
+      hold(*cmd, false);
     held.push_back(cmd);
     return cmd;
   }
@@ -249,15 +264,18 @@
   Turn& leafFor(const Arrival& arrival, const Cmd& cmd) {
     double due = 1;
     for (auto& tenant : set.tenants)
-      if (tenant.name == arrival.tenant) due = std::max(tenant.share * double(set.tenants.size()), 0.01);
+      if (tenant.name == arrival.tenant)
+        due = std::max(tenant.share * double(set.tenants.size()), 0.01);
     Turn& leaf = root.child(arrival.tenant, due).child(cmd.profile().name, 1);
-    if (!cmd.profile().load) return leaf;  // loads, one more name: who waits for its group holds up no other
+    if (!cmd.profile().load)
+      return leaf;  // loads, one more name: who waits for its group holds up no other
     return leaf.child(std::to_string(cmd.tables % uint64_t(kGroups)), 1);
   }
 
   void hold(Cmd& cmd, bool first) {
     cmd.held = true;
-    if (rights) return rights->hold(cmd, cmd.work, cmd.memory, first);
+    if (rights)
+      return rights->hold(cmd, cmd.work, cmd.memory, first);
     for (Turn* at = cmd.leaf; at->parent && !at->holds(); at = at->parent)
       at->deficit = at->ownDeficit = 0;  // an empty queue keeps neither debt nor credit
     auto& fifo = cmd.leaf->fifo;
@@ -266,40 +284,50 @@
 
   void unhold(Cmd& cmd) {
     cmd.held = false;
-    if (rights) return rights->unhold(cmd);
+    if (rights)
+      return rights->unhold(cmd);
     std::erase_if(cmd.leaf->fifo, [&](auto& other) { return other.get() == &cmd; });
   }
 
   // The final answer, at once. A shed says that a retry does no harm, so it is given only where that holds:
   // never run, replayable, or uniqued where every node knows the repeat (rule 2).
   void end(Cmd& cmd) {
-    if (cmd.over) return;
+    if (cmd.over)
+      return;
     auto self = cmd.shared_from_this();
-    if (cmd.held) unhold(cmd);
+    if (cmd.held)
+      unhold(cmd);
     cmd.over = true;
     const Profile& profile = cmd.profile();
     bool known = profile.effect == Effect::uniqued && profile.group == Group::all;
     if (cmd.ranAt < 0 || profile.effect == Effect::replayable || known)
       out.shed(cmd, set.retryAfter && overload ? set.maxRetryAfter : 0);
-    else out.fail(cmd);
+    else
+      out.fail(cmd);
     close(cmd);
   }
 
   // Over, and no send without an outcome: its key goes on.
   void close(Cmd& cmd) {
-    if (rights && cmd.over && !cmd.node) rights->forget(cmd);
-    if (!cmd.over || cmd.node || !cmd.key) return;
+    if (rights && cmd.over && !cmd.node)
+      rights->forget(cmd);
+    if (!cmd.over || cmd.node || !cmd.key)
+      return;
     std::erase_if(keys[*cmd.key].line, [&](auto& other) { return other.get() == &cmd; });
   }
 
   void releaseKeys() {  // rule 5: one command of a key at a time, in order, after the quiet time
     std::erase_if(keys, [&](auto& it) { return it.second.line.empty() && it.second.quietUntil <= now; });
     for (auto& [id, key] : keys) {
-      if (key.line.empty()) continue;
+      if (key.line.empty())
+        continue;
       Cmd& first = *key.line.front();
-      if (first.held || first.over || first.node || first.sends > 0) continue;
-      if (key.quietUntil <= now) hold(first, false);
-      else wakeAt(key.quietUntil);
+      if (first.held || first.over || first.node || first.sends > 0)
+        continue;
+      if (key.quietUntil <= now)
+        hold(first, false);
+      else
+        wakeAt(key.quietUntil);
     }
   }
 
@@ -319,32 +347,41 @@
   // Rules 2 and 7 and the house rule, asked when a command is held again and once more at its send.
   bool mayGoAgain(const Cmd& cmd) {
     const Profile& profile = cmd.profile();
-    if (overload || cmd.sends > kFurther || cmd.sends >= set.maxSends || cmd.streaming) return false;
-    if (now + cmd.atRest() > cmd.timeoutAt || worthNow(cmd) <= 0) return false;
-    if (cmd.ranAt >= 0 && profile.effect == Effect::nonReplayable) return false;
-    if (now >= windowEnd(cmd)) return false;
+    if (overload || cmd.sends > kFurther || cmd.sends >= set.maxSends || cmd.streaming)
+      return false;
+    if (now + cmd.atRest() > cmd.timeoutAt || worthNow(cmd) <= 0)
+      return false;
+    if (cmd.ranAt >= 0 && profile.effect == Effect::nonReplayable)
+      return false;
+    if (now >= windowEnd(cmd))
+      return false;
     double budget = set.furtherFree + set.furtherShare * takenInSpan.surely(now);  // to the safe side
     return set.furtherSpan <= 0 || further.sum(now) + 1 <= budget;
   }
 
   void again(Cmd& cmd) {
-    if (!mayGoAgain(cmd)) return end(cmd);
+    if (!mayGoAgain(cmd))
+      return end(cmd);
     hold(cmd, true);
     held.push_back(cmd.shared_from_this());
   }
 
   void seeReport(Node& node, const Report* report) {
-    if (!report) return;
+    if (!report)
+      return;
     if (report->inHand && usualRun > 0)  // in threads, by the usual work of a command over its run
       node.others = std::max(0.0, *report->inHand * usualWork / usualRun - node.threads),
       node.reportedAt = now;
-    if (report->utilisation.value_or(1) < kUseCut) node.idleUntil = now + kReportFresh;
+    if (report->utilisation.value_or(1) < kUseCut)
+      node.idleUntil = now + kReportFresh;
     bool busy = report->utilisation.value_or(0) >= kUseCut || report->disksBusy.value_or(0) > 0.97;
-    if (busy || report->waiting.value_or(0) > 0.5) press(node);
+    if (busy || report->waiting.value_or(0) > 0.5)
+      press(node);
   }
 
   void press(Node& node) {
-    if (!node.pressed) node.pressed = true, node.limit = 1;
+    if (!node.pressed)
+      node.pressed = true, node.limit = 1;
     node.pressedUntil = now + kPressureHold;
   }
 
@@ -352,9 +389,11 @@
     Row& row = cmd.row;
     if (bill && bill->work > 0) {
       auto toward = [](double& ratio, double seen) { ratio *= std::pow(std::clamp(seen, .1, 10.), kLearn); };
-      if (cmd.estimate > 0) toward(row.workRatio, bill->work / cmd.estimate / row.workRatio);
+      if (cmd.estimate > 0)
+        toward(row.workRatio, bill->work / cmd.estimate / row.workRatio);
       double raw = cmd.estimateMb * row.memoryRatio;  // by the ratio of now: an old one would swing up
-      if (bill->memoryMb > 0 && raw > 0) toward(row.memoryRatio, bill->memoryMb / raw);
+      if (bill->memoryMb > 0 && raw > 0)
+        toward(row.memoryRatio, bill->memoryMb / raw);
       cmd.work = bill->work;
     }
     done.add(now, cmd.work), doneLong.add(now, cmd.work);
@@ -364,22 +403,27 @@
 
   // --- engines
   void list(ListKind kind, const std::vector<NodeRow>& given) override {
-    if (kind == ListKind::error) return askAt = now + chance.between(0.5, 1.0), wakeAt(askAt);
-    if (!std::exchange(listSeen, true) && set.askForList) out.followList();
+    if (kind == ListKind::error)
+      return askAt = now + chance.between(0.5, 1.0), wakeAt(askAt);
+    if (!std::exchange(listSeen, true) && set.askForList)
+      out.followList();
     if (kind == ListKind::full)
-      for (auto& [id, node] : nodes) node->listed = false, node->gone = true;
+      for (auto& [id, node] : nodes)
+        node->listed = false, node->gone = true;
     for (auto& row : given) {
       auto& slot = nodes[row.id];
       if (!slot) {
         slot = std::make_unique<Node>();
         slot->id = row.id, slot->home = false;
-        for (size_t i = 0; i < rows.size(); ++i) slot->credit.push_back(chance.between(-2, 0));
+        for (size_t i = 0; i < rows.size(); ++i)
+          slot->credit.push_back(chance.between(-2, 0));
         slot->coldWork = TimeRing(std::max(set.fallTime * 1.1, 0.001));
       }
       Node& node = *slot;
       node.zone = row.zone, node.kind = row.kind, node.cell = row.cell;
       for (auto& known : set.kinds)
-        if (known.name == row.kind) node.cores = std::max(known.cores, 1.0), node.memoryMb = known.memoryMb;
+        if (known.name == row.kind)
+          node.cores = std::max(known.cores, 1.0), node.memoryMb = known.memoryMb;
       node.homeRank = std::log(mix(row.id, salt)) / node.cores;
       node.listed = row.state == NodeState::inService;  // rule 3: at once, whatever the grace
       node.gone = row.state == NodeState::gone, node.place = row.place.value_or(set.ordinal);
@@ -394,18 +438,21 @@
     std::vector<Node*> own;
     for (auto& [id, node] : nodes) {
       bool up = node->listed && (!node->resting || now >= node->restUntil);
-      if (node->home = up && !byTurns(*node); node->home) own.push_back(node.get());
+      if (node->home = up && !byTurns(*node); node->home)
+        own.push_back(node.get());
     }
     double all = double(own.size());
     homes = std::min(std::max(kHomeLeast, std::round(kHomeSpan * taken.sum(now) / seen())), all);
     std::ranges::nth_element(own, own.begin() + int(homes), std::greater{}, &Node::homeRank);
     homeCores = 0;
     for (size_t i = 0; i < own.size(); ++i)
-      if (own[i]->home = double(i) < homes; own[i]->home) homeCores += able(*own[i]);
+      if (own[i]->home = double(i) < homes; own[i]->home)
+        homeCores += able(*own[i]);
   }
 
   void probed(uint32_t id, Outcome, const Report* report) override {
-    if (auto found = nodes.find(id); found != nodes.end()) seeReport(*found->second, report);
+    if (auto found = nodes.find(id); found != nodes.end())
+      seeReport(*found->second, report);
   }
 
   double usualOthers() const {  // what we have out says little of the others where few sends come to a node
@@ -422,17 +469,20 @@
   double fill(const Node& node, const Cmd& cmd) const {  // part of its place that a node has in use
     double half = cmd.profile().threads / 2.0;
     double use = (node.threads + half) / able(node) + others(node);
-    if (!byTurns(node)) use += (tellers > 0 ? 1 - sparse : 1) * half / std::max(cores, 1.0) / share();
+    if (!byTurns(node))
+      use += (tellers > 0 ? 1 - sparse : 1) * half / std::max(cores, 1.0) / share();
     use /= kMark * (1 - kUnseen * sparse) * node.limit;
     return threads > 0 ? use : std::min(use, kEmptyUse);  // or a wide command of a small gateway never starts
   }
 
   bool fits(const Node& node, const Cmd& cmd) const {  // memory runs short in one step: no chance above it
     double ours = std::min(1.0, part() * (node.pressed ? node.limit : 1));
-    if (set.shortMemory == ShortMemory::overcommit) ours = share();
+    if (set.shortMemory == ShortMemory::overcommit)
+      ours = share();
     double theirs = (node.pressed ? memory + cmd.memory : usualMemory) / std::max(memoryMb, 1.0);
     theirs *= (1 / ours - 1) * (usualOthers() > 0 ? std::max(1.0, others(node) / usualOthers()) : 1);
-    if (tellers > 0) theirs += sparse / 4 * (others(node) * able(node) * usualMb / node.memoryMb - theirs);
+    if (tellers > 0)
+      theirs += sparse / 4 * (others(node) * able(node) * usualMb / node.memoryMb - theirs);
     double use = (node.memory + cmd.memory) / node.memoryMb + (byTurns(node) ? 0 : theirs);
     return node.memoryMb <= 0 || memory <= 0 || use <= kMemoryUse * (1 - kUnseen * sparse);
   }
@@ -448,13 +498,17 @@
   bool byTurns(const Node& node) const { return cold(node) && node.place >= 0 && share() < kByTurns; }
   double right(Node& node) {
     double budget = set.fallMultiple * set.coldFrom * node.cores * set.fallTime, span = set.fallTime / kSlots;
-    if (!byTurns(node)) return kSafeCapacity * budget * share() - node.coldWork.sum(now);
-    if (set.ordinal < 0 && usualWork > 0) budget += 2 * (std::sqrt(budget / usualWork) + 1) * usualWork;
+    if (!byTurns(node))
+      return kSafeCapacity * budget * share() - node.coldWork.sum(now);
+    if (set.ordinal < 0 && usualWork > 0)
+      budget += 2 * (std::sqrt(budget / usualWork) + 1) * usualWork;
     int64_t slot = int64_t(std::floor((now - *node.startedAt) / span)), holds = 0;
     for (int i = 0; i < int(kHolders); ++i)
       holds += int(mix(node.id, ~uint64_t(slot * int(kHolders) + i)) * set.gateways) == node.place;
-    if (holds == 0 || *node.startedAt + double(slot) * span < openedAt) return 0;  // an earlier life had it
-    if (std::exchange(node.slot, slot) != slot) node.slotWork = 0;
+    if (holds == 0 || *node.startedAt + double(slot) * span < openedAt)
+      return 0;  // an earlier life had it
+    if (std::exchange(node.slot, slot) != slot)
+      node.slotWork = 0;
     return kSlotPart * budget / kHolders - node.slotWork;
   }
 
@@ -466,19 +520,26 @@
     if (!node.listed || !open(profile.zonesOpen, node.zone) || !open(profile.kindsOpen, node.kind))
       return false;
     if (cmd.ranAt >= 0 && profile.effect == Effect::uniqued) {  // rule 2: inside the group that knows it
-      if (profile.group != Group::all && node.zone != cmd.ranZone) return false;
-      if (profile.group == Group::cell && node.cell != cmd.ranCell) return false;
+      if (profile.group != Group::all && node.zone != cmd.ranZone)
+        return false;
+      if (profile.group == Group::cell && node.cell != cmd.ranCell)
+        return false;
     }
-    if (now < node.fullUntil) return false;
+    if (now < node.fullUntil)
+      return false;
     if (node.resting) {  // trials: one at a time, of what may run again and is short
-      if (now < node.restUntil || node.trialOut) return false;
+      if (now < node.restUntil || node.trialOut)
+        return false;
       bool fit = profile.effect == Effect::replayable && cmd.run() <= usualRun && cmd.sends == 0;
-      if (!fit && now < node.restUntil + kRestLast) return false;
+      if (!fit && now < node.restUntil + kRestLast)
+        return false;
     }
     if (cold(node)) {  // rule 4: our part of the budget, by the usual work of the profile
       bool turns = byTurns(node);
-      if (!turns && now < openedAt + set.fallTime) return false;  // an earlier life may have sent
-      if (std::max(cmd.work, turns ? 0 : cmd.row.usualWork) > right(node)) return false;
+      if (!turns && now < openedAt + set.fallTime)
+        return false;  // an earlier life may have sent
+      if (std::max(cmd.work, turns ? 0 : cmd.row.usualWork) > right(node))
+        return false;
     }
     return fits(node, cmd) && !holdsGroup(node, cmd);
   }
@@ -489,61 +550,81 @@
     std::vector<std::tuple<Node*, double, double>> choices[2];  // node, load, rank; [1]: with a place
     bool apart = loadsHold && (cmd.profile().load || cmd.profile().yields);
     for (auto& [id, node] : nodes) {
-      if (!allowed(*node, cmd)) continue;
+      if (!allowed(*node, cmd))
+        continue;
       double extra = set.crossZoneCharge > 0 && node->zone != set.zone ? kFarZone : 0;
       double hash = mix(id, cmd.tables), rank = std::log(hash) / node->cores;
-      if (apart && (hash < kLoadSide) != cmd.profile().load) extra += kApart;  // loads keep to their side
-      if (node->resting && evidence() >= kTrials) extra -= 1e6;                // a trial that is due is taken
-      if (node->home && node->credit[&cmd.row - rows.data()] < 0) extra += kOver * sparse;
-      if (byTurns(*node)) extra -= pressure ? kOver : 0;  // a turn comes seldom and passes
-      else if (!node->home) extra += kAway;
-      if (cmd.avoid == id) extra += 1e6;
+      if (apart && (hash < kLoadSide) != cmd.profile().load)
+        extra += kApart;  // loads keep to their side
+      if (node->resting && evidence() >= kTrials)
+        extra -= 1e6;  // a trial that is due is taken
+      if (node->home && node->credit[&cmd.row - rows.data()] < 0)
+        extra += kOver * sparse;
+      if (byTurns(*node))
+        extra -= pressure ? kOver : 0;  // a turn comes seldom and passes
+      else if (!node->home)
+        extra += kAway;
+      if (cmd.avoid == id)
+        extra += 1e6;
       bool place = !node->pressed || fill(*node, cmd) < 1 || now < node->idleUntil;
       choices[place].push_back({node.get(), load(*node) + extra, rank});
     }
     auto& open = choices[choices[1].empty() ? 0 : 1];
     double least = HUGE_VAL, best = -HUGE_VAL;
-    for (auto& [node, load, rank] : open) least = std::min(least, load);
+    for (auto& [node, load, rank] : open)
+      least = std::min(least, load);
     Node* first = nullptr;
     for (auto& [node, load, rank] : open)
-      if (load <= least + kBand && rank > best) first = node, best = rank;
+      if (load <= least + kBand && rank > best)
+        first = node, best = rank;
     return first;
   }
 
   bool start(Cmd& cmd) {
     Node* node = pick(cmd);
     double use = node && node->pressed && now >= node->idleUntil ? fill(*node, cmd) : 0;
-    if (!node || (use >= 1 && chance.unit() >= 2 - use)) return false;
+    if (!node || (use >= 1 && chance.unit() >= 2 - use))
+      return false;
     return send(cmd, *node), true;
   }
 
   double timeout(const Cmd& cmd, const Node& node) const {
     bool last = cmd.sends > kFurther || cmd.sends >= set.maxSends;  // counted after this send
-    if (cmd.profile().effect == Effect::nonReplayable || last || cmd.lowered) return 0;
+    if (cmd.profile().effect == Effect::nonReplayable || last || cmd.lowered)
+      return 0;
     double usual = cmd.atRest() * std::clamp(node.stretch, 1.0, kRatioCap);
-    if (set.cancel) return kTimeoutRuns * usual + 2 * kSweep;   // it frees the node: a bad plan is cut
-    if ((overload || node.pressed) && !node.resting) return 0;  // it would run on beside its successor
+    if (set.cancel)
+      return kTimeoutRuns * usual + 2 * kSweep;  // it frees the node: a bad plan is cut
+    if ((overload || node.pressed) && !node.resting)
+      return 0;  // it would run on beside its successor
     return std::max({kTimeoutRuns * usual, cmd.targetAt - now - kTimeoutRuns / 2 * usual, 6 * kSweep});
   }
 
   void send(Cmd& cmd, Node& node) {
     unhold(cmd);
-    if (rights) rights->started(cmd);
+    if (rights)
+      rights->started(cmd);
     cmd.node = &node, cmd.sentAt = now, cmd.grant = cmd.memory, cmd.cancelled = false;
-    if (cmd.sends++ > 0) further.add(now, 1);
+    if (cmd.sends++ > 0)
+      further.add(now, 1);
     int priority = 1;
     if (set.priorities) {  // the shorter, the sooner; loads first where others wait for them
       double run = cmd.run() / std::max(usualRun, 1e-6);
       priority = run < 0.5 ? 3 : run < 1.5 ? 2 : run < 4 ? 1 : 0;
-      if (cmd.profile().load && loadsHold) priority = 3;
+      if (cmd.profile().load && loadsHold)
+        priority = 3;
       cmd.lowered = rights && pressure && !rights->within(cmd);  // borrowed: what is guaranteed runs first
-      if (cmd.lowered) priority = 0;
+      if (cmd.lowered)
+        priority = 0;
     }
     double most = node.memoryMb > 0 ? node.memoryMb * set.maxGrantShare : HUGE_VAL;
     double grant = set.grants ? std::min(cmd.memory * kGrantSpare, most) : 0;
-    if (set.priorities || grant > 0) out.terms(cmd, priority, grant);
-    if (cold(node)) node.coldWork.add(now, std::max(cmd.work, cmd.row.usualWork)), node.slotWork += cmd.work;
-    if (node.resting) cmd.trial = node.trialOut = true;
+    if (set.priorities || grant > 0)
+      out.terms(cmd, priority, grant);
+    if (cold(node))
+      node.coldWork.add(now, std::max(cmd.work, cmd.row.usualWork)), node.slotWork += cmd.work;
+    if (node.resting)
+      cmd.trial = node.trialOut = true;
     node.out.push_back(cmd.shared_from_this());
     memory += cmd.grant;
     threads += cmd.profile().threads, node.threads += cmd.profile().threads, node.memory += cmd.grant;
@@ -557,7 +638,8 @@
 
   // --- sweeps
   void rest(Node& node, const char* of, double is, double at) {
-    if (!node.resting) --listed, ++resting, log("node %u rests: %s (%.2f against %.2f)", node.id, of, is, at);
+    if (!node.resting)
+      --listed, ++resting, log("node %u rests: %s (%.2f against %.2f)", node.id, of, is, at);
     bool relapse = node.resting || now < node.wellSince + kRestLast;
     double longest = kRestLast * kTrials / evidence();  // a trial is dear where few sends come to one node
     node.restTime = relapse ? std::min(node.restTime * 2, longest) : kRestFirst;
@@ -578,7 +660,8 @@
   // Health: a node is to blame only for what the others don't show at the same time. Overdue commands of one
   // group that may all wait for one load count as one.
   void judge(Node& node) {
-    if (node.resting) return;
+    if (node.resting)
+      return;
     double oks = node.oks.sum(now), nodeFails = node.fails.sum(now),
            usual = std::clamp(stretch, 1.0, kRatioCap);
     double otherFails = allFails - nodeFails - node.late, otherOks = allOks - oks;
@@ -586,16 +669,20 @@
     allFails -= std::exchange(node.late, 0);
     for (auto& cmd : node.out) {
       double due = kQuiet + kTimeoutRuns * cmd->atRest() * usual * slow(node);
-      if (now - cmd->sentAt <= due || cmd->sentAt < node.wellSince) continue;
-      if (cmd->lowered) continue;
-      if (!cmd->profile().yields || (groups.insert(cmd->tables).second && groups.size() > 1)) ++node.late;
+      if (now - cmd->sentAt <= due || cmd->sentAt < node.wellSince)
+        continue;
+      if (cmd->lowered)
+        continue;
+      if (!cmd->profile().yields || (groups.insert(cmd->tables).second && groups.size() > 1))
+        ++node.late;
     }
     allFails += node.late;
     double fails = nodeFails + node.late, share = fails / std::max(fails + oks, 1.0);
     double others = otherFails / std::max(otherFails + otherOks, 1.0);
     others += resting / (resting + listed);  // what those that rest can't do makes the others late
     bool worse = (fails + 1) * otherOks > kFailLead * (otherFails + 1) * (oks + 1);  // by odds
-    if (fails < evidence() || share <= kFailShare + others / 2 || !worse) return;
+    if (fails < evidence() || share <= kFailShare + others / 2 || !worse)
+      return;
     rest(node, "it fails", share, others);
     if (set.cancel)
       for (auto& cmd : node.out)
@@ -607,27 +694,34 @@
     double took = node.took.sum(now), atRest = node.rest.sum(now);
     for (auto& cmd : node.out) {  // what is overdue tells before it ends
       double rest = cmd->atRest() * slow(node), past = std::min(now - cmd->sentAt, kRatioCap * rest);
-      if (past <= kFar * rest) continue;
+      if (past <= kFar * rest)
+        continue;
       took += past, atRest += rest;
-      if (!node.resting && past >= kRatioCap * rest) lateTook += past, lateRest += rest;
+      if (!node.resting && past >= kRatioCap * rest)
+        lateTook += past, lateRest += rest;
     }
     double prior = kPrior * usualRun;  // few answers of one node say little: the fleet's stand beside them
     node.stretch = atRest + prior > 0 ? (took + prior * stretch) / (atRest + prior) : 1;
     bool far = node.stretch > kFar - kFarUnseen * sparse && !node.resting;
-    if (far) press(node);
-    if (!node.pressed) return;
+    if (far)
+      press(node);
+    if (!node.pressed)
+      return;
     if (far) {  // well below the mark only where latency stays far off, as when disks jam
       double least = node.stretch > kVeryFar ? kMarkLeast + (1 - kMarkLeast) * sparse : 1;
       node.limit = std::max(std::min(least, node.limit), node.limit * kMarkFall);
-    } else if (now > node.pressedUntil - kPressureHold / 2) node.limit *= 1 + kMarkRise * weight;
-    if (now > node.pressedUntil && node.limit > kMarkFree) node.pressed = false;
+    } else if (now > node.pressedUntil - kPressureHold / 2)
+      node.limit *= 1 + kMarkRise * weight;
+    if (now > node.pressedUntil && node.limit > kMarkFree)
+      node.pressed = false;
   }
 
   // Ends what can't be in time and, while the backlog needs more than a part of all slack held, what is
   // worth least for its work: bursts, costly commands, lost engines, retries. Hurts where estimates are off.
   void shedHeld() {
     for (auto& cmd : held)
-      if (!cmd->over && !cmd->node && hopeless(*cmd)) end(*cmd);
+      if (!cmd->over && !cmd->node && hopeless(*cmd))
+        end(*cmd);
     std::erase_if(held, [](auto& cmd) { return cmd->over || cmd->node; });
     fresh = held.size();
     double backlog = 0, slack = 0, worth = 0;
@@ -635,21 +729,25 @@
       backlog += cmd->work, worth += cmd->worth;
       slack += cmd->worth * std::max(0.0, cmd->targetAt - now - cmd->atRest());
     }
-    if (held.size() < 2 || cores <= 0) return;  // what is held alone waits for nothing but a place
+    if (held.size() < 2 || cores <= 0)
+      return;  // what is held alone waits for nothing but a place
     double ours = cores * share(), prior = kPrior * usualWork;  // few bills say little of our rate
     double rate = std::max((done.sum(now) + prior) / (3 + prior / ours), 0.25 * ours);
     double room = rate * kBacklog * slack / worth;
-    if (backlog <= room || !pressure) return;
+    if (backlog <= room || !pressure)
+      return;
     auto waiting = held;
     std::ranges::stable_sort(waiting, {}, [&](auto& cmd) {  // who is within its guarantee goes last
       return std::pair(rights && rights->within(*cmd), worthNow(*cmd) / cmd->work);
     });
-    if (!overload) log("overload: %.1f s of work held, room for %.1f", backlog, room);
+    if (!overload)
+      log("overload: %.1f s of work held, room for %.1f", backlog, room);
     overload = true, overloadUntil = now + kOverloadHold;
     waiting.pop_back();
     for (auto& cmd : waiting) {
       bool sure = rights && rights->within(*cmd);  // its places come back: it may have the whole slack
-      if (backlog <= (sure ? room / kBacklog : room)) break;
+      if (backlog <= (sure ? room / kBacklog : room))
+        break;
       backlog -= cmd->work;
       end(*cmd);
     }
@@ -659,11 +757,15 @@
   // 7). Guards against long borrowed runs that keep a team from its own. Hurts where another place is wanted.
   void preempt() {
     auto [found, cancel] = rights->givesWay();
-    if (!found) return;
+    if (!found)
+      return;
     Cmd& cmd = static_cast<Cmd&>(*found);
-    if (set.priorities) cmd.lowered = true, out.terms(cmd, 0, set.grants ? cmd.grant : 0);
-    if (!cancel || !set.cancel || cmd.over || cmd.cancelled) return;
-    if (cmd.profile().effect != Effect::replayable || !mayGoAgain(cmd)) return;
+    if (set.priorities)
+      cmd.lowered = true, out.terms(cmd, 0, set.grants ? cmd.grant : 0);
+    if (!cancel || !set.cancel || cmd.over || cmd.cancelled)
+      return;
+    if (cmd.profile().effect != Effect::replayable || !mayGoAgain(cmd))
+      return;
     cmd.cancelled = true, out.cancel(cmd, cmd.sends - 1);
   }
 
@@ -673,11 +775,13 @@
     cores = memoryMb = listed = resting = turnCores = turnThreads = tellers = told = 0;
     for (auto& [id, node] : nodes) {
       resting += node->listed && node->resting;
-      if (!node->listed || node->resting) continue;
+      if (!node->listed || node->resting)
+        continue;
       bool turns = byTurns(*node);
       double place = able(*node) * (turns ? kTurnsUsed : 1), fade = turns ? 0 : tells(*node);
       cores += place, memoryMb += turns ? 0 : node->memoryMb, ++listed;
-      if (turns) turnCores += place, turnThreads += node->threads;  // a turn finds not always a use
+      if (turns)
+        turnCores += place, turnThreads += node->threads;  // a turn finds not always a use
       tellers += fade, told += fade * node->others / able(*node);
     }
     double worst = lateTook = lateRest = allFails = allOks = 0;
@@ -686,13 +790,16 @@
       any |= node->pressed && node->listed, worst = std::max(worst, node->stretch);
       allFails += node->fails.sum(now) + node->late, allOks += node->oks.sum(now);
     }
-    for (auto& [ratio, rest] : answers) lateTook += ratio * rest, lateRest += rest;
+    for (auto& [ratio, rest] : answers)
+      lateTook += ratio * rest, lateRest += rest;
     stretch = lateRest > 0 ? lateTook / lateRest : 1;
-    if (quotas > 0 && usualWork > 0) trafficPart = doneLong.sum(now) / seen() / quotas / usualWork;
+    if (quotas > 0 && usualWork > 0)
+      trafficPart = doneLong.sum(now) / seen() / quotas / usualWork;
     weight = std::min(1.0, kSweep * taken.sum(now) / seen() / kAnswers);
     sparse = std::clamp(1 - (allOks + allFails) / kFailSpan / std::max(1.0, listed) / kDense, 0.0, 1.0);
     // Where few sends tell how a node is, it is asked now and then: one probe a command at most.
-    if (set.probing && sparse > 0) probes += kSweep * std::min(homes / kReportFades, taken.sum(now) / seen());
+    if (set.probing && sparse > 0)
+      probes += kSweep * std::min(homes / kReportFades, taken.sum(now) / seen());
     chooseHome();
     for (; probes >= 1 && homes > 0; --probes) {
       auto next = nodes.upper_bound(lastProbed);
@@ -704,43 +811,55 @@
     threads = memory = 0;  // what stands at a node that rests takes no place
     for (auto& [id, node] : nodes) {
       judge(*node);
-      if (!node->resting) threads += node->threads, memory += node->memory;
+      if (!node->resting)
+        threads += node->threads, memory += node->memory;
     }
-    if (any != pressure) log("pressure %s: latency %.1f times the best", any ? "shown" : "over", worst);
+    if (any != pressure)
+      log("pressure %s: latency %.1f times the best", any ? "shown" : "over", worst);
     pressure = any;
-    if (rights) preempt();
-    if (overload && now > overloadUntil) overload = false, log("overload over: %zu held", held.size());
+    if (rights)
+      preempt();
+    if (overload && now > overloadUntil)
+      overload = false, log("overload over: %zu held", held.size());
     shedHeld();
   }
 
   void wakeAt(double time) {
-    if (nextWake > now + kClock && nextWake <= time) return;
+    if (nextWake > now + kClock && nextWake <= time)
+      return;
     out.wake(nextWake = time);
   }
 
   Cmd* next() {  // whose turn it is
-    if (rights) return static_cast<Cmd*>(rights->next());
+    if (rights)
+      return static_cast<Cmd*>(rights->next());
     Turn* turn = root.next(now);
     return turn ? turn->fifo.front().get() : nullptr;
   }
 
   void settle() override {
-    if (askAt >= 0 && now >= askAt) askAt = -1, out.followList();
-    if (now >= nextSweep - kClock) nextSweep = now + kSweep, sweep();
+    if (askAt >= 0 && now >= askAt)
+      askAt = -1, out.followList();
+    if (now >= nextSweep - kClock)
+      nextSweep = now + kSweep, sweep();
     for (; fresh < held.size(); ++fresh)
-      if (!held[fresh]->over && hopeless(*held[fresh])) end(*held[fresh]);
+      if (!held[fresh]->over && hopeless(*held[fresh]))
+        end(*held[fresh]);
     releaseKeys();
     while (Cmd* turn = next()) {
       Cmd& cmd = *turn;
       if (hopeless(cmd) || (cmd.sends > 0 && !mayGoAgain(cmd))) {
         end(cmd);
       } else if (start(cmd)) {
-        if (!rights) cmd.leaf->pay(cmd.work);
+        if (!rights)
+          cmd.leaf->pay(cmd.work);
       } else {  // the loser waits and draws again; meanwhile other leaves take their turns
         double size = std::clamp(cmd.work / std::max(usualWork, 1e-6), kWaitLeast, kWaitMost);
         double wait = size * chance.between(kWaitLow, kWaitHigh);
-        if (rights) rights->lost(cmd, wait);
-        else cmd.leaf->wakeAt = now + wait;
+        if (rights)
+          rights->lost(cmd, wait);
+        else
+          cmd.leaf->wakeAt = now + wait;
       }
     }
     wakeAt(std::max(std::min(rights ? rights->wakes() : root.wakes(), nextSweep), now + kClock));
@@ -778,36 +897,47 @@
 
 // --- what happens to a command
 void Cmd::note(Topic topic, double) {
-  if (node && topic == Topic::waits && !over) core.press(*node);
+  if (node && topic == Topic::waits && !over)
+    core.press(*node);
 }
 
 void Cmd::withdrawn() {
-  if (std::exchange(over, true)) return;
-  if (held) core.unhold(*this);
-  if (node && core.set.cancel && !cancelled) cancelled = true, core.out.cancel(*this, sends - 1);
+  if (std::exchange(over, true))
+    return;
+  if (held)
+    core.unhold(*this);
+  if (node && core.set.cancel && !cancelled)
+    cancelled = true, core.out.cancel(*this, sends - 1);
   core.close(*this);
 }
 
 void Cmd::outcome(Outcome what, double took, bool final, const Bill* bill, const Report* report) {
   auto self = shared_from_this();
-  if (!node) return;
+  if (!node)
+    return;
   Node& was = *node;
   node = nullptr;
   std::erase(was.out, self);
   was.threads -= profile().threads, core.threads -= profile().threads;
   was.memory -= grant, core.memory -= grant;
-  if (core.rights) core.rights->ended(*this, bill ? bill->work : 0);
+  if (core.rights)
+    core.rights->ended(*this, bill ? bill->work : 0);
   bool ownTrial = std::exchange(trial, false);
-  if (ownTrial) was.trialOut = false;
+  if (ownTrial)
+    was.trialOut = false;
   bool ran = what != Outcome::full && what != Outcome::connectFailed && what != Outcome::unused;
-  if (ran && ranAt < 0) ranAt = sentAt, ranZone = was.zone, ranCell = was.cell;
+  if (ran && ranAt < 0)
+    ranAt = sentAt, ranZone = was.zone, ranCell = was.cell;
   if (key && (what == Outcome::expired || what == Outcome::reset || what == Outcome::cancelled))
     core.keys[*key].quietUntil = core.now + core.set.keyQuiet;
   bool answered = what == Outcome::answered;
-  if (answered) was.oks.add(core.now, 1), was.pause = kFullPause;
+  if (answered)
+    was.oks.add(core.now, 1), was.pause = kFullPause;
   bool blames = what == Outcome::expired && !profile().yields && !lowered;
-  if (what == Outcome::error || blames) was.fails.add(core.now, 1);
-  if (what == Outcome::connectFailed || what == Outcome::reset) was.fails.add(core.now, 2);
+  if (what == Outcome::error || blames)
+    was.fails.add(core.now, 1);
+  if (what == Outcome::connectFailed || what == Outcome::reset)
+    was.fails.add(core.now, 2);
   if (what == Outcome::full) {  // the more gateways come back at once, the longer it must be: it doubles
     core.press(was), was.fullUntil = core.now + was.pause * core.chance.between(0.5, 1.5);
     was.pause = std::min(2 * was.pause, kRestLast);
@@ -817,14 +947,16 @@
   } else if (ownTrial && was.resting && !answered && what != Outcome::full && what != Outcome::unused) {
     core.rest(was, "trial failed", was.trials, core.evidence());
   }
-  if (answered) core.learn(*this, took, bill);
+  if (answered)
+    core.learn(*this, took, bill);
   bool spilled =
       bill && estimateMb > 0 && bill->memoryMb > (core.set.grants ? grant : kOwnGrant * estimateMb);
   if (answered && !ownTrial && !spilled) {
     double rest = atRest() * core.slow(was), most = std::min(took, kRatioCap * rest);
     was.took.add(core.now, most), was.rest.add(core.now, rest);
     core.answers.push_back({most / rest, rest});
-    if (double(core.answers.size()) > kAnswers) core.answers.pop_front();
+    if (double(core.answers.size()) > kAnswers)
+      core.answers.pop_front();
   }
   core.seeReport(was, report);
   avoid = was.id;
--- a/src/protocol/change_log.cpp
+++ b/src/protocol/change_log.cpp
@@ -13,7 +13,8 @@
   explicit Bytes(std::string_view text) : text_(text) {}
   uint64_t number(size_t width) {
     uint64_t value = 0;
-    for (size_t i = 0; i < width; ++i) value = value << 8 | static_cast<unsigned char>(text_[i]);
+    for (size_t i = 0; i < width; ++i)
+      value = value << 8 | static_cast<unsigned char>(text_[i]);
     text_.remove_prefix(width);
     return value;
   }
@@ -26,10 +27,13 @@
 }  // namespace
 
 FrameReader::State FrameReader::next(std::string& bytes, ListEvent& event) const {
-  if (bytes.size() < 4) return State::more;
+  if (bytes.size() < 4)
+    return State::more;
   size_t length = Bytes(bytes).number(4);
-  if (length < kHead || length + 4 > kMostFrame) return State::bad;
-  if (bytes.size() < length + 4) return State::more;
+  if (length < kHead || length + 4 > kMostFrame)
+    return State::bad;
+  if (bytes.size() < length + 4)
+    return State::more;
   std::string frame = bytes.substr(4, length);
   bytes.erase(0, length + 4);
 
@@ -38,8 +42,10 @@
   event.number = from.number(8);
   uint64_t kind = from.number(1);
   size_t payload = length - kHead;
-  if (kind == 0) return payload == 0 ? State::nothingNew : State::bad;
-  if (kind > 2 || payload % kRecord != 0) return State::bad;
+  if (kind == 0)
+    return payload == 0 ? State::nothingNew : State::bad;
+  if (kind > 2 || payload % kRecord != 0)
+    return State::bad;
   event.whole = kind == 1;
   while (!from.empty()) {
     Listing& one = event.rows.emplace_back();
@@ -50,7 +56,8 @@
     one.row.cell = static_cast<int>(from.number(2));
     from.number(4);  // the weight: no decision needs it
     one.bornMs = static_cast<int64_t>(from.number(8));
-    if (state > 2 || zone >= zones_.size() || machine >= kinds_.size()) return State::bad;
+    if (state > 2 || zone >= zones_.size() || machine >= kinds_.size())
+      return State::bad;
     static constexpr NodeState states[] = {NodeState::inService, NodeState::draining, NodeState::gone};
     one.row.state = states[state], one.row.zone = zones_[zone], one.row.kind = kinds_[machine];
   }
@@ -59,7 +66,8 @@
 
 std::string resumeFrom(uint64_t number) {
   std::string bytes;
-  for (int shift = 56; shift >= 0; shift -= 8) bytes += static_cast<char>(number >> shift & 0xff);
+  for (int shift = 56; shift >= 0; shift -= 8)
+    bytes += static_cast<char>(number >> shift & 0xff);
   return bytes;
 }
 
--- a/src/protocol/engine_lines.cpp
+++ b/src/protocol/engine_lines.cpp
@@ -32,20 +32,29 @@
   while (!text.empty()) {
     std::string_view pair = cut(text, ';'), name = cut(pair, ':');
     double value = 0;
-    if (!readFigure(pair, value)) return false;
-    if (name == "inflight" || name == "concurrent") report.inHand = value;
-    else if (name == "queue" || name == "depth") report.waiting = value;
-    else if (name == "util" || name == "load_share") report.utilisation = value;
-    else if (name == "x0") report.memoryGranted = value;
-    else if (name == "x1") report.disksBusy = value;
+    if (!readFigure(pair, value))
+      return false;
+    if (name == "inflight" || name == "concurrent")
+      report.inHand = value;
+    else if (name == "queue" || name == "depth")
+      report.waiting = value;
+    else if (name == "util" || name == "load_share")
+      report.utilisation = value;
+    else if (name == "x0")
+      report.memoryGranted = value;
+    else if (name == "x1")
+      report.disksBusy = value;
   }
   return true;
 }
 
 std::optional<Topic> readTopic(std::string_view name) {
-  if (name == "pct") return Topic::progress;
-  if (name == "overflow") return Topic::spills;
-  if (name == "queued") return Topic::waits;
+  if (name == "pct")
+    return Topic::progress;
+  if (name == "overflow")
+    return Topic::spills;
+  if (name == "queued")
+    return Topic::waits;
   return std::nullopt;  // a note that we don't know says nothing to us
 }
 
@@ -54,20 +63,29 @@
       {"HIT", Word::answered}, {"SHED", Word::full}, {"FAULT", Word::error}, {"LATE", Word::over},
       {"INFO", Word::note},    {"PART", Word::page}, {"PONG", Word::well},   {"SICK", Word::sick}};
   for (auto& [name, meaning] : words)
-    if (name == word) return meaning;
+    if (name == word)
+      return meaning;
   return std::nullopt;
 }
 
 bool readField(std::string_view name, std::string_view value, EngineAnswer& answer) {
   double figure = 0;
-  if (name == "fetches") return readNumber(value, answer.pages) && answer.pages > 0;
-  if (name == "fetch_no") return readNumber(value, answer.page) && answer.page > 0;
-  if (name == "meter") return readReport(value, answer.report.emplace());
-  if (name == "tell") return answer.topic = readTopic(value), true;
-  if (name == "figure") return readFigure(value, answer.level);
-  if (name != "effort" && name != "high") return true;  // unknown fields are skipped
-  if (!readFigure(value, figure)) return false;
-  if (!answer.bill) answer.bill.emplace();
+  if (name == "fetches")
+    return readNumber(value, answer.pages) && answer.pages > 0;
+  if (name == "fetch_no")
+    return readNumber(value, answer.page) && answer.page > 0;
+  if (name == "meter")
+    return readReport(value, answer.report.emplace());
+  if (name == "tell")
+    return answer.topic = readTopic(value), true;
+  if (name == "figure")
+    return readFigure(value, answer.level);
+  if (name != "effort" && name != "high")
+    return true;  // unknown fields are skipped
+  if (!readFigure(value, figure))
+    return false;
+  if (!answer.bill)
+    answer.bill.emplace();
   (name == "effort" ? answer.bill->work : answer.bill->memoryMb) = name == "effort" ? figure / 1e3 : figure;
   return true;
 }
@@ -77,13 +95,17 @@
 EngineReader::State EngineReader::next(std::string& bytes, EngineAnswer& answer) {
   if (!inBody_) {
     size_t end = bytes.find("\r\n");
-    if (end == std::string::npos) return bytes.size() > kMostLine ? State::bad : State::more;
-    if (end > kMostLine || readLine(std::string_view(bytes).substr(0, end)) == State::bad) return State::bad;
+    if (end == std::string::npos)
+      return bytes.size() > kMostLine ? State::bad : State::more;
+    if (end > kMostLine || readLine(std::string_view(bytes).substr(0, end)) == State::bad)
+      return State::bad;
     bytes.erase(0, end + 2);
     inBody_ = true;
   }
-  if (bytes.size() < left_ + 2) return State::more;
-  if (bytes.compare(left_, 2, "\r\n") != 0) return State::bad;
+  if (bytes.size() < left_ + 2)
+    return State::more;
+  if (bytes.compare(left_, 2, "\r\n") != 0)
+    return State::bad;
   answer_.body = bytes.substr(0, left_);
   bytes.erase(0, left_ + 2);
   inBody_ = false;
@@ -98,10 +120,12 @@
   if (id.empty() || !known || fields.empty() || !readNumber(line, left_) || left_ > kMostBody)
     return State::bad;
   answer_.id = id, answer_.word = *known;
-  if (fields == "-") return State::whole;
+  if (fields == "-")
+    return State::whole;
   while (!fields.empty()) {
     std::string_view value = cut(fields, ','), name = cut(value, '=');
-    if (name.empty() || !readField(name, value, answer_)) return State::bad;
+    if (name.empty() || !readField(name, value, answer_))
+      return State::bad;
   }
   return State::whole;
 }
@@ -113,8 +137,10 @@
   std::string line = "GET ";
   line.append(send.id).append(" cls=").append(send.profile);
   line.append(",limit=").append(std::to_string(limit));
-  if (!send.token.empty()) line.append(",nonce=").append(send.token);
-  if (send.priority) line.append(",weight=").append(std::to_string(*send.priority));
+  if (!send.token.empty())
+    line.append(",nonce=").append(send.token);
+  if (send.priority)
+    line.append(",weight=").append(std::to_string(*send.priority));
   line.append(" ").append(std::to_string(send.statement.size())).append("\r\n");
   return line.append(send.statement).append("\r\n");
 }
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -9,15 +9,18 @@
 std::string lower(std::string_view text) {
   std::string low(text);
   for (char& c : low)
-    if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
+    if (c >= 'A' && c <= 'Z')
+      c = static_cast<char>(c - 'A' + 'a');
   return low;
 }
 
 namespace {
 
 std::string_view trim(std::string_view text) {
-  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
-  while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+  while (!text.empty() && (text.front() == ' ' || text.front() == '\t'))
+    text.remove_prefix(1);
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\t'))
+    text.remove_suffix(1);
   return text;
 }
 
@@ -37,7 +40,8 @@
 bool lists(std::string_view list, std::string_view word) {
   while (!list.empty()) {
     size_t comma = std::min(list.find(','), list.size());
-    if (lower(trim(list.substr(0, comma))) == word) return true;
+    if (lower(trim(list.substr(0, comma))) == word)
+      return true;
     list.remove_prefix(std::min(comma + 1, list.size()));
   }
   return false;
@@ -47,20 +51,24 @@
 
 const std::string* HttpRequest::header(std::string_view name) const {
   for (auto& [known, value] : headers)
-    if (known == name) return &value;
+    if (known == name)
+      return &value;
   return nullptr;
 }
 
 HttpReader::State HttpReader::next(std::string& bytes, HttpRequest& request) {
   if (stage_ == Stage::head)
-    if (State state = readHead(bytes); state != State::whole) return state;
+    if (State state = readHead(bytes); state != State::whole)
+      return state;
   if (stage_ == Stage::length) {
     size_t part = std::min(left_, bytes.size());
     request_.body.append(bytes, 0, part);
     bytes.erase(0, part);
     left_ -= part;
-    if (left_ > 0) return State::more;
-  } else if (State state = readChunks(bytes); state != State::whole) return state;
+    if (left_ > 0)
+      return State::more;
+  } else if (State state = readChunks(bytes); state != State::whole)
+    return state;
   stage_ = Stage::head;
   request = std::exchange(request_, {});
   return State::whole;
@@ -70,8 +78,10 @@
   bytes.erase(
       0, std::min(bytes.find_first_not_of("\r\n"), bytes.size()));  // stray ends of line between requests
   size_t end = bytes.find("\r\n\r\n");
-  if (end == std::string::npos) return bytes.size() > kMostHead ? bad(431) : State::more;
-  if (end > kMostHead) return bad(431);
+  if (end == std::string::npos)
+    return bytes.size() > kMostHead ? bad(431) : State::more;
+  if (end > kMostHead)
+    return bad(431);
   std::string head = bytes.substr(0, end);
   bytes.erase(0, end + 4);
 
@@ -85,23 +95,29 @@
   request_ = {};
   std::string_view first = line();
   size_t one = first.find(' '), two = first.rfind(' ');
-  if (one == std::string_view::npos || one == two) return bad(400);
+  if (one == std::string_view::npos || one == two)
+    return bad(400);
   std::string_view target = first.substr(one + 1, two - one - 1), version = first.substr(two + 1);
-  if (!isToken(first.substr(0, one)) || target.empty() || target.front() != '/') return bad(400);
-  if (std::ranges::any_of(target, [](char c) { return c <= ' ' || c == 0x7f; })) return bad(400);
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") return bad(400);
+  if (!isToken(first.substr(0, one)) || target.empty() || target.front() != '/')
+    return bad(400);
+  if (std::ranges::any_of(target, [](char c) { return c <= ' ' || c == 0x7f; }))
+    return bad(400);
+  if (version != "HTTP/1.1" && version != "HTTP/1.0")
+    return bad(400);
   request_.method = first.substr(0, one), request_.path = target;
   while (!rest.empty()) {
     std::string_view field = line();
     size_t colon = field.find(':');
-    if (colon == std::string_view::npos || !isToken(field.substr(0, colon))) return bad(400);
+    if (colon == std::string_view::npos || !isToken(field.substr(0, colon)))
+      return bad(400);
     std::string_view value = trim(field.substr(colon + 1));
     if (std::ranges::any_of(value, [](char c) { return (c >= 0 && c < ' ' && c != '\t') || c == 0x7f; }))
       return bad(400);
     std::string name = lower(field.substr(0, colon));
     // Two lengths, or a field of ours twice, could be read in two ways.
     bool single = name == "content-length" || name == "transfer-encoding" || name == "x-ram";
-    if (request_.header(name) && (single || name.starts_with("req-"))) return bad(400);
+    if (request_.header(name) && (single || name.starts_with("req-")))
+      return bad(400);
     request_.headers.emplace_back(std::move(name), value);
   }
   auto* connection = request_.header("connection");
@@ -110,15 +126,19 @@
   auto* length = request_.header("content-length");
   left_ = trailers_ = 0;
   if (auto* coding = request_.header("transfer-encoding")) {
-    if (length || lower(*coding) != "chunked") return bad(400);
+    if (length || lower(*coding) != "chunked")
+      return bad(400);
     stage_ = Stage::chunkSize;
   } else {
-    if (length && !readNumber(*length, left_)) return bad(400);
-    if (left_ > kMostBody) return bad(413);
+    if (length && !readNumber(*length, left_))
+      return bad(400);
+    if (left_ > kMostBody)
+      return bad(413);
     stage_ = Stage::length;
   }
   auto* expects = request_.header("expect");
-  if (expects && lower(*expects) != "100-continue") return bad(417);
+  if (expects && lower(*expects) != "100-continue")
+    return bad(417);
   return expects && bytes.empty() ? State::continues : State::whole;
 }
 
@@ -129,22 +149,29 @@
       request_.body.append(bytes, 0, part);
       bytes.erase(0, part);
       left_ -= part;
-      if (left_ > 0 || bytes.size() < 2) return State::more;
-      if (!bytes.starts_with("\r\n")) return bad(400);
+      if (left_ > 0 || bytes.size() < 2)
+        return State::more;
+      if (!bytes.starts_with("\r\n"))
+        return bad(400);
       bytes.erase(0, 2);
       stage_ = Stage::chunkSize;
     }
     size_t end = bytes.find("\r\n");
-    if (end == std::string::npos) return bytes.size() > kMostHead ? bad(400) : State::more;
+    if (end == std::string::npos)
+      return bytes.size() > kMostHead ? bad(400) : State::more;
     std::string text = bytes.substr(0, end);
     bytes.erase(0, end + 2);
     if (stage_ == Stage::trailer) {
-      if (text.empty()) return State::whole;
-      if ((trailers_ += text.size()) > kMostHead) return bad(431);
+      if (text.empty())
+        return State::whole;
+      if ((trailers_ += text.size()) > kMostHead)
+        return bad(431);
       continue;
     }
-    if (!readNumber(trim(std::string_view(text).substr(0, text.find(';'))), left_, 16)) return bad(400);
-    if (left_ > kMostBody || request_.body.size() + left_ > kMostBody) return bad(413);
+    if (!readNumber(trim(std::string_view(text).substr(0, text.find(';'))), left_, 16))
+      return bad(400);
+    if (left_ > kMostBody || request_.body.size() + left_ > kMostBody)
+      return bad(413);
     stage_ = left_ > 0 ? Stage::chunk : Stage::trailer;
   }
 }
@@ -178,8 +205,10 @@
   };
   std::string answer = "HTTP/1.1 " + std::to_string(status) + " " + reason() + "\r\n";
   answer += "Content-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
-  if (retryAfter > 0) answer += "Retry-After: " + std::to_string(std::lround(std::ceil(retryAfter))) + "\r\n";
-  if (!keepAlive) answer += "Connection: close\r\n";
+  if (retryAfter > 0)
+    answer += "Retry-After: " + std::to_string(std::lround(std::ceil(retryAfter))) + "\r\n";
+  if (!keepAlive)
+    answer += "Connection: close\r\n";
   answer += "\r\n";
   return answer.append(body);
 }
--- a/src/protocol/statement.cpp
+++ b/src/protocol/statement.cpp
@@ -19,61 +19,81 @@
   // The next name, quoted or not; none at the end. What lies between is passed over.
   std::optional<std::string> name() {
     while (at_ < text_.size()) {
-      if (gap()) continue;
+      if (gap())
+        continue;
       char c = text_[at_];
-      if (c == '\'') quoted('\'');
-      else if (c == '"' || c == '`') return quoted(c);
-      else if (c == '$' && dollars()) continue;
-      else if (starts(c)) return word();
+      if (c == '\'')
+        quoted('\'');
+      else if (c == '"' || c == '`')
+        return quoted(c);
+      else if (c == '$' && dollars())
+        continue;
+      else if (starts(c))
+        return word();
       else if (c >= '0' && c <= '9')
-        while (at_ < text_.size() && (goesOn(text_[at_]) || text_[at_] == '.')) ++at_;
-      else ++at_;
+        while (at_ < text_.size() && (goesOn(text_[at_]) || text_[at_] == '.'))
+          ++at_;
+      else
+        ++at_;
     }
     return std::nullopt;
   }
   // Whether a point comes next: what went before then names a schema.
   bool point() {
-    while (gap()) {}
+    while (gap()) {
+    }
     return at_ < text_.size() && text_[at_] == '.' ? ++at_, true : false;
   }
 
  private:
   bool gap() {  // a blank or a comment
-    if (at_ >= text_.size()) return false;
+    if (at_ >= text_.size())
+      return false;
     std::string_view rest = text_.substr(at_);
-    if (blank(rest[0])) return ++at_, true;
-    if (rest.starts_with("--")) return at_ = std::min(text_.find('\n', at_), text_.size()), true;
-    if (!rest.starts_with("/*")) return false;
+    if (blank(rest[0]))
+      return ++at_, true;
+    if (rest.starts_with("--"))
+      return at_ = std::min(text_.find('\n', at_), text_.size()), true;
+    if (!rest.starts_with("/*"))
+      return false;
     int depth = 0;  // comments of this kind nest in SQL
     do {
       rest = text_.substr(at_);
-      if (rest.starts_with("/*")) ++depth, at_ += 2;
-      else if (rest.starts_with("*/")) --depth, at_ += 2;
-      else ++at_;
+      if (rest.starts_with("/*"))
+        ++depth, at_ += 2;
+      else if (rest.starts_with("*/"))
+        --depth, at_ += 2;
+      else
+        ++at_;
     } while (depth > 0 && at_ < text_.size());
     return true;
   }
   std::string quoted(char mark) {  // a doubled mark stands for one
     std::string inside;
     for (++at_; at_ < text_.size(); ++at_) {
-      if (text_[at_] == mark && (++at_ >= text_.size() || text_[at_] != mark)) return inside;
+      if (text_[at_] == mark && (++at_ >= text_.size() || text_[at_] != mark))
+        return inside;
       inside += text_[at_];
     }
     return inside;
   }
   bool dollars() {  // $$text$$ and $mark$text$mark$
     size_t end = at_ + 1;
-    while (end < text_.size() && goesOn(text_[end]) && text_[end] != '$') ++end;
-    if (end >= text_.size() || text_[end] != '$') return false;
+    while (end < text_.size() && goesOn(text_[end]) && text_[end] != '$')
+      ++end;
+    if (end >= text_.size() || text_[end] != '$')
+      return false;
     std::string_view mark = text_.substr(at_, end - at_ + 1);
     size_t close = text_.find(mark, end + 1);
-    if (close == std::string_view::npos) return false;
+    if (close == std::string_view::npos)
+      return false;
     at_ = close + mark.size();
     return true;
   }
   std::string word() {
     size_t from = at_;
-    while (at_ < text_.size() && goesOn(text_[at_])) ++at_;
+    while (at_ < text_.size() && goesOn(text_[at_]))
+      ++at_;
     return std::string(text_.substr(from, at_ - from));
   }
 
@@ -83,7 +103,8 @@
 
 std::optional<uint64_t> numberOf(const std::string& schema) {
   size_t underscore = schema.rfind('_');
-  if (underscore == std::string::npos || underscore + 1 == schema.size()) return std::nullopt;
+  if (underscore == std::string::npos || underscore + 1 == schema.size())
+    return std::nullopt;
   uint64_t number = 0;
   const char *from = schema.data() + underscore + 1, *to = schema.data() + schema.size();
   auto [end, fault] = std::from_chars(from, to, number);
@@ -93,9 +114,11 @@
 // A name after one of these is a table's; elsewhere it may be a column's, with an alias in front.
 bool namesTable(std::string word) {
   for (char& c : word)
-    if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
+    if (c >= 'A' && c <= 'Z')
+      c = static_cast<char>(c - 'A' + 'a');
   for (auto known : {"from", "join", "into", "update", "table", "only", "copy", "using"})
-    if (word == known) return true;
+    if (word == known)
+      return true;
   return false;
 }
 
@@ -111,8 +134,10 @@
       continue;
     }
     auto number = numberOf(*name);
-    if (number && atTable) return number;
-    if (number && !elsewhere) elsewhere = number;
+    if (number && atTable)
+      return number;
+    if (number && !elsewhere)
+      elsewhere = number;
   }
   return elsewhere;
 }
--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -25,7 +25,8 @@
 bool put(const char* bytes, size_t count) {
   static std::atomic_flag writing = ATOMIC_FLAG_INIT;
   for (int tries = 0; writing.test_and_set(std::memory_order_acquire); ++tries)
-    if (tries == kTries) return false;
+    if (tries == kTries)
+      return false;
   pollfd ready{STDERR_FILENO, POLLOUT, 0};
   bool room = ::poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT);
   bool written = room && ::write(STDERR_FILENO, bytes, count) >= 0;
@@ -43,11 +44,14 @@
     if (dropped_ > 0) {
       spdlog::details::log_msg told = line;
       std::string words = std::to_string(dropped_) + " log lines dropped";
-      if (json) words = nlohmann::json{{"message", words}, {"dropped", dropped_}}.dump().substr(1);
+      if (json)
+        words = nlohmann::json{{"message", words}, {"dropped", dropped_}}.dump().substr(1);
       told.payload = words;
-      if (write(told)) dropped_ = 0;
+      if (write(told))
+        dropped_ = 0;
     }
-    if (!write(line)) ++dropped_;
+    if (!write(line))
+      ++dropped_;
   }
   void flush_() override {}
 
@@ -55,7 +59,8 @@
   bool write(const spdlog::details::log_msg& line) {
     spdlog::memory_buf_t bytes;
     formatter_->format(line, bytes);
-    if (bytes.size() > kLongest) bytes.resize(kLongest), bytes.push_back('\n');
+    if (bytes.size() > kLongest)
+      bytes.resize(kLongest), bytes.push_back('\n');
     return put(bytes.data(), bytes.size());
   }
   unsigned long dropped_ = 0;
@@ -112,9 +117,11 @@
 }
 
 void Log::write(Level level, const std::string& text, const LogFields& fields) {
-  if (!writer().sink->json) return writer().logger.log(of(level), std::string_view(text));
+  if (!writer().sink->json)
+    return writer().logger.log(of(level), std::string_view(text));
   nlohmann::json line;
-  for (auto& [field, value] : fields) line[field] = value;
+  for (auto& [field, value] : fields)
+    line[field] = value;
   line["message"] = text.size() < kLongest / 2 ? text : text.substr(0, kLongest / 2);
   auto replace = nlohmann::json::error_handler_t::replace;  // bytes of strangers may be no UTF-8
   writer().logger.log(of(level), std::string_view(line.dump(-1, ' ', false, replace).substr(1)));
--- a/src/runtime/log.h
+++ b/src/runtime/log.h
@@ -32,15 +32,18 @@
   LogLine(const LogLine&) = delete;
   LogLine& operator=(const LogLine&) = delete;
   ~LogLine() {
-    if (shown_) Log::write(level_, text_.str(), fields_);
+    if (shown_)
+      Log::write(level_, text_.str(), fields_);
   }
   template <typename T>
   LogLine& operator<<(const T& part) {
-    if (shown_) text_ << part;
+    if (shown_)
+      text_ << part;
     return *this;
   }
   LogLine& with(const char* field, const std::string& value) {
-    if (shown_) fields_.emplace_back(field, value);
+    if (shown_)
+      fields_.emplace_back(field, value);
     return *this;
   }
 
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -15,19 +15,22 @@
 
 void Signal::forget() {
   waiter_ = nullptr;
-  if (std::exchange(queued_, false)) scheduler_.ready_.remove(this), scheduler_.afterOthers_.remove(this);
+  if (std::exchange(queued_, false))
+    scheduler_.ready_.remove(this), scheduler_.afterOthers_.remove(this);
 }
 
 void Signal::raise() {
   raised_ = true;
-  if (!waiter_ || queued_) return;
+  if (!waiter_ || queued_)
+    return;
   queued_ = true;
   scheduler_.ready_.push_back(this);
 }
 
 void Signal::Wait::await_suspend(std::coroutine_handle<> waiter) {
   signal_.waiter_ = waiter_ = waiter;
-  if (!others_) return;
+  if (!others_)
+    return;
   signal_.queued_ = true;
   signal_.scheduler_.afterOthers_.push_back(&signal_);
 }
@@ -40,7 +43,8 @@
 }
 
 void Timer::clear() {
-  if (std::exchange(set_, false)) scheduler_.timers_.erase(place_);
+  if (std::exchange(set_, false))
+    scheduler_.timers_.erase(place_);
 }
 
 // --- descriptors
@@ -57,14 +61,16 @@
 }
 
 void Descriptor::close() {
-  if (fd_ < 0) return;
+  if (fd_ < 0)
+    return;
   ::close(fd_);
   fd_ = -1;
 }
 
 // --- the loop
 Scheduler::Scheduler(const Clock& clock) : clock_(clock), epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
-  if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
+  if (epoll_ < 0)
+    throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
 Scheduler::~Scheduler() { ::close(epoll_); }
@@ -91,14 +97,16 @@
 // Waits for the next event or timer, and wakes those concerned in the order in which their events came.
 void Scheduler::poll(bool mayWait) {
   int wait = -1;
-  if (!ready_.empty() || !mayWait) wait = 0;
+  if (!ready_.empty() || !mayWait)
+    wait = 0;
   else if (!timers_.empty()) {
     double left = timers_.begin()->first - now();
     wait = static_cast<int>(std::clamp(std::ceil(left * 1e3), 0.0, 1e6));
   }
   epoll_event events[512];
   int count = ::epoll_wait(epoll_, events, 512, wait);
-  if (count < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
+  if (count < 0 && errno != EINTR)
+    throw std::system_error(errno, std::generic_category(), "epoll_wait");
   for (int i = 0; i < count; ++i) {
     auto& descriptor = *static_cast<Descriptor*>(events[i].data.ptr);
     descriptor.news_ |= (events[i].events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
@@ -116,7 +124,8 @@
     // also when we were stopped for a while.
     ready_.splice(ready_.end(), deferred);
     resumeReady();
-    if (!stopped_) fireTimers(asked);
+    if (!stopped_)
+      fireTimers(asked);
     resumeReady();
     buried_.clear();
   }
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -40,7 +40,8 @@
     return *this;
   }
   ~Task() {
-    if (handle_) handle_.destroy();
+    if (handle_)
+      handle_.destroy();
   }
   void start() { handle_.resume(); }
   bool done() const { return !handle_ || handle_.done(); }
@@ -67,12 +68,14 @@
     Wait(const Wait&) = delete;
     Wait& operator=(const Wait&) = delete;
     ~Wait() {
-      if (waiter_ && signal_.waiter_ == waiter_) signal_.forget();
+      if (waiter_ && signal_.waiter_ == waiter_)
+        signal_.forget();
     }
     bool await_ready() { return !others_ && std::exchange(signal_.raised_, false); }
     void await_suspend(std::coroutine_handle<> waiter);
     void await_resume() {
-      if (!others_) signal_.raised_ = false;
+      if (!others_)
+        signal_.raised_ = false;
     }
 
    private:
--- a/src/runtime/stream.cpp
+++ b/src/runtime/stream.cpp
@@ -46,7 +46,8 @@
 
 int listenOn(const Address& address) {
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) throw std::system_error(errno, std::generic_category(), "socket");
+  if (fd < 0)
+    throw std::system_error(errno, std::generic_category(), "socket");
   int on = 1;
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);  // restarts come under the same address
   sockaddr_in native = nativeOf(address);
@@ -63,7 +64,9 @@
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   try {
     socket_ = std::make_unique<Descriptor>(scheduler_, fd, signal_);
-  } catch (const std::system_error&) { end(CloseReason::noDescriptor); }
+  } catch (const std::system_error&) {
+    end(CloseReason::noDescriptor);
+  }
 }
 
 void Stream::adopt(int fd) {
@@ -73,28 +76,34 @@
 
 void Stream::connect(const Address& address, uint32_t from) {
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) return end(reasonOf(errno));
+  if (fd < 0)
+    return end(reasonOf(errno));
   adoptDescriptor(fd);
-  if (!socket_) return;
+  if (!socket_)
+    return;
   if (sockaddr_in own = nativeOf({from, 0});
       from != 0 && ::bind(fd, reinterpret_cast<sockaddr*>(&own), sizeof own) < 0)
     return end(reasonOf(errno));
   sockaddr_in native = nativeOf(address);
-  if (::connect(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) == 0) up_ = true;
+  if (::connect(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) == 0)
+    up_ = true;
   else if (errno != EINPROGRESS)
     end(reasonOf(errno) == CloseReason::reset ? CloseReason::refused : reasonOf(errno));
 }
 
 bool Stream::connected() {
-  if (up_ || !socket_) return up_;
+  if (up_ || !socket_)
+    return up_;
   sockaddr_in peer;
   socklen_t size = sizeof peer;
-  if (::getpeername(socket_->fd(), reinterpret_cast<sockaddr*>(&peer), &size) == 0) return up_ = true;
+  if (::getpeername(socket_->fd(), reinterpret_cast<sockaddr*>(&peer), &size) == 0)
+    return up_ = true;
   int fault = 0;
   size = sizeof fault;
   ::getsockopt(socket_->fd(), SOL_SOCKET, SO_ERROR, &fault, &size);
   // Whatever broke it, it never came up.
-  if (fault != 0) end(reasonOf(fault) == CloseReason::reset ? CloseReason::refused : reasonOf(fault));
+  if (fault != 0)
+    end(reasonOf(fault) == CloseReason::reset ? CloseReason::refused : reasonOf(fault));
   return false;
 }
 
@@ -110,7 +119,8 @@
     ssize_t got = ::recv(socket_->fd(), chunk, room, 0);
     if (got > 0) {
       in_.append(chunk, static_cast<size_t>(got));
-      if (static_cast<size_t>(got) < room) socket_->readAll();  // but for an end, if one has been announced
+      if (static_cast<size_t>(got) < room)
+        socket_->readAll();  // but for an end, if one has been announced
     } else if (got == 0) {
       end(CloseReason::closed);
     } else if (errno == EAGAIN) {
@@ -127,13 +137,15 @@
   uint64_t place = next_++;
   outBytes_ += bytes.size();
   out_.push_back({place, std::move(bytes)});
-  if (outBytes_ > mostOut_) end(CloseReason::overfull);
+  if (outBytes_ > mostOut_)
+    end(CloseReason::overfull);
   return place;
 }
 
 bool Stream::withdraw(uint64_t place) {
   auto chunk = std::ranges::find(out_, place, &Chunk::place);
-  if (chunk == out_.end() || begun(place)) return false;
+  if (chunk == out_.end() || begun(place))
+    return false;
   outBytes_ -= chunk->bytes.size();
   out_.erase(chunk);
   return true;
@@ -150,8 +162,10 @@
     message.msg_iov = parts, message.msg_iovlen = static_cast<size_t>(count);
     ssize_t done = ::sendmsg(socket_->fd(), &message, MSG_NOSIGNAL);
     if (done < 0) {
-      if (errno == EINTR) continue;
-      if (errno != EAGAIN) end(reasonOf(errno));
+      if (errno == EINTR)
+        continue;
+      if (errno != EAGAIN)
+        end(reasonOf(errno));
       return;
     }
     for (auto left = static_cast<size_t>(done); left > 0;) {
@@ -159,7 +173,8 @@
       sent_ = head.place + 1;
       size_t part = std::min(left, head.bytes.size() - headSent_);
       left -= part, headSent_ += part, outBytes_ -= part;
-      if (headSent_ < head.bytes.size()) break;
+      if (headSent_ < head.bytes.size())
+        break;
       headSent_ = 0;
       out_.pop_front();
     }
@@ -167,11 +182,13 @@
 }
 
 void Stream::shutDown() {
-  if (socket_) ::shutdown(socket_->fd(), SHUT_WR);
+  if (socket_)
+    ::shutdown(socket_->fd(), SHUT_WR);
 }
 
 void Stream::end(CloseReason ending) {
-  if (reason_ == CloseReason::none) reason_ = ending;
+  if (reason_ == CloseReason::none)
+    reason_ = ending;
   socket_.reset();
 }
 
--- a/src/serve/answer.cpp
+++ b/src/serve/answer.cpp
@@ -9,7 +9,8 @@
 
 bool Gathering::first(EngineAnswer& answer) {
   // A page holds a byte at least, so a number beyond that of the bytes is no number of pages.
-  if (begun() || static_cast<size_t>(answer.pages) > kMostBytes) return false;
+  if (begun() || static_cast<size_t>(answer.pages) > kMostBytes)
+    return false;
   pages_.resize(static_cast<size_t>(answer.pages));
   missing_ = pages_.size();
   return keep(0, answer.body);
@@ -18,8 +19,10 @@
 bool Gathering::further(EngineAnswer& answer) { return keep(static_cast<size_t>(answer.page), answer.body); }
 
 bool Gathering::keep(size_t number, std::string& page) {
-  if (number >= pages_.size() || pages_[number]) return false;
-  if ((bytes_ += page.size()) > kMostBytes) return false;
+  if (number >= pages_.size() || pages_[number])
+    return false;
+  if ((bytes_ += page.size()) > kMostBytes)
+    return false;
   pages_[number] = std::move(page);
   --missing_;
   return true;
@@ -29,7 +32,8 @@
   std::string json = "[";
   json.reserve(bytes_ + bytes_ / 4);
   for (auto& page : pages_)
-    if (!page || !appendRows(json, *page)) return std::nullopt;
+    if (!page || !appendRows(json, *page))
+      return std::nullopt;
   return json += ']';
 }
 
--- a/src/serve/ask.cpp
+++ b/src/serve/ask.cpp
@@ -45,10 +45,12 @@
   Ask ask;
   ask.profile = request.path.substr(request.path.rfind('/') + 1);
   auto profile = std::ranges::find(settings.profiles, ask.profile, &Profile::name);
-  if (profile == settings.profiles.end()) return refuse(404, "unknown profile");
+  if (profile == settings.profiles.end())
+    return refuse(404, "unknown profile");
 
   auto* id = request.header("req-id");
-  if (!id || !isHex16(*id)) return refuse(400, "Req-Id must be 16 hex digits");
+  if (!id || !isHex16(*id))
+    return refuse(400, "Req-Id must be 16 hex digits");
   ask.id = *id;
   double wait = 0;
   auto* left = request.header("req-wait-ms");
@@ -56,9 +58,11 @@
     return refuse(400, "Req-Wait-Ms must be a time in milliseconds");
   ask.endsAt = came + wait / 1e3;
   // Without a list of tenants all are one: a queue for each name that comes would never end.
-  if (auto* tenant = request.header("req-owner"); tenant && !settings.tenants.empty()) ask.tenant = *tenant;
+  if (auto* tenant = request.header("req-owner"); tenant && !settings.tenants.empty())
+    ask.tenant = *tenant;
   bool known = std::ranges::find(settings.tenants, ask.tenant, &Tenant::name) != settings.tenants.end();
-  if (!settings.tenants.empty() && !known) return refuse(400, "Req-Owner names no tenant");
+  if (!settings.tenants.empty() && !known)
+    return refuse(400, "Req-Owner names no tenant");
   if (auto* users = actor.empty() ? nullptr : request.header(actor)) {
     for (auto word : std::views::split(*users, '/'))
       if (ask.users.emplace_back(word.begin(), word.end());
@@ -71,18 +75,22 @@
     ask.work /= 1e3;
   }
   double mostMemory = 0;
-  for (auto& kind : settings.kinds) mostMemory = std::max(mostMemory, kMostEngines * kind.memoryMb);
-  if (mostMemory <= 0) mostMemory = kMostMemory;
+  for (auto& kind : settings.kinds)
+    mostMemory = std::max(mostMemory, kMostEngines * kind.memoryMb);
+  if (mostMemory <= 0)
+    mostMemory = kMostMemory;
   if (auto* memory = request.header("x-ram"); memory && !readAmount(*memory, mostMemory, ask.memoryMb))
     return refuse(400, "X-Ram must be a size in MB");
   if (auto* key = request.header("req-key")) {
-    if (!isHex16(*key)) return refuse(400, "Req-Key must be 16 hex digits");
+    if (!isHex16(*key))
+      return refuse(400, "Req-Key must be 16 hex digits");
     uint64_t number = 0;
     std::from_chars(key->data(), key->data() + key->size(), number, 16);
     ask.key = number;
   }
   if (auto* token = request.header("req-token")) {
-    if (!isWord(*token)) return refuse(400, "Req-Token must be one word");
+    if (!isWord(*token))
+      return refuse(400, "Req-Token must be one word");
     ask.token = *token;
   } else if (profile->effect == Effect::uniqued) {
     return refuse(400, "Req-Token is missing");  // without it engines could not know a repeat
--- a/src/serve/client.cpp
+++ b/src/serve/client.cpp
@@ -41,7 +41,8 @@
 }
 
 Client::~Client() {
-  if (ticket_ && !answer_) dispatcher_.withdraw(ticket_);
+  if (ticket_ && !answer_)
+    dispatcher_.withdraw(ticket_);
   holds(0);
 }
 
@@ -54,8 +55,10 @@
 bool Client::read(bool look) {
   size_t had = stream_.in().size();
   stream_.fill(look);
-  if (stream_.in().size() == had) return false;
-  if (had == 0 && reader_.between()) cameAt_ = scheduler_.now(), limit();
+  if (stream_.in().size() == had)
+    return false;
+  if (had == 0 && reader_.between())
+    cameAt_ = scheduler_.now(), limit();
   return true;
 }
 
@@ -69,17 +72,22 @@
 // there is told that there is no room for it.
 bool Client::tryEvict() {
   signal_.raise();
-  if (!leaving_) unseen_ |= read(true);
-  if (unseen_) return false;
-  if (!leaving_ && begun()) stream_.write(httpAnswer({Answer::Kind::shed, {}, 0}, false)), stream_.flush();
+  if (!leaving_)
+    unseen_ |= read(true);
+  if (unseen_)
+    return false;
+  if (!leaving_ && begun())
+    stream_.write(httpAnswer({Answer::Kind::shed, {}, 0}, false)), stream_.flush();
   stream_.end(CloseReason::idle);
   return true;
 }
 
 // Who has not taken its answer, or not closed after its last one, is cut off; all others are looked at once more.
 void Client::tooLate() {
-  if (busy_ || leaving_) stream_.end(CloseReason::idle);
-  else late_ = true;
+  if (busy_ || leaving_)
+    stream_.end(CloseReason::idle);
+  else
+    late_ = true;
   signal_.raise();
 }
 
@@ -91,14 +99,16 @@
     stream_.in().clear();
     stream_.fill(true);
   }
-  if (!stream_.open()) signal_.raise();
+  if (!stream_.open())
+    signal_.raise();
   return stream_.open();
 }
 
 void Client::drain() {
   drains_ = true;
   signal_.raise();
-  if (!busy_ && !leaving_) unseen_ |= read(true);
+  if (!busy_ && !leaving_)
+    unseen_ |= read(true);
 }
 
 void Client::answer(Answer answer) {
@@ -124,21 +134,27 @@
       unseen_ = false;
       state = reader_.next(stream_.in(), request);
       holds(stream_.in().capacity() + reader_.held() + request.body.capacity());
-      if (state == HttpReader::State::whole || state == HttpReader::State::bad) break;
+      if (state == HttpReader::State::whole || state == HttpReader::State::bad)
+        break;
       if (memory_.sum > memory_.most && !reader_.between()) {  // a body that has no room: it is not kept
         tooMuch = true;
         break;
       }
       if (state == HttpReader::State::continues)
         stream_.write("HTTP/1.1 100 Continue\r\n\r\n"), stream_.flush();
-      if (!stream_.open()) break;
-      if (stream_.cutShort() || state == HttpReader::State::continues) continue;
-      if ((over = late_ || (drains_ && !begun()))) break;
+      if (!stream_.open())
+        break;
+      if (stream_.cutShort() || state == HttpReader::State::continues)
+        continue;
+      if ((over = late_ || (drains_ && !begun())))
+        break;
       co_await signal_;
     }
     limit_.clear();
-    if (!stream_.open()) break;   // nobody is there to be answered
-    if (over && !begun()) break;  // it rests: it is told that nothing more is read
+    if (!stream_.open())
+      break;  // nobody is there to be answered
+    if (over && !begun())
+      break;  // it rests: it is told that nothing more is read
     busy_ = asked_ = true;
     bool now = true;  // answered without the dispatcher
 
@@ -162,10 +178,13 @@
         while (!answer_ && !dismissed_ && stream_.open()) {
           co_await signal_;
           mailbox_.drain();
-          if (!answer_) present();
-          if (spoilt_) pace.set(scheduler_.now() + kPace);  // there may be more of it
+          if (!answer_)
+            present();
+          if (spoilt_)
+            pace.set(scheduler_.now() + kPace);  // there may be more of it
         }
-        if (!answer_) break;
+        if (!answer_)
+          break;
         keepAlive &= !drains_ && !spoilt_;
         debug().with("command", ticket_->ask.id)
             << "client: answers " << ticket_->ask.id << ": " << nameOf(answer_->kind);
@@ -176,11 +195,13 @@
     holds(stream_.in().capacity() + bytes.size());
     stream_.write(std::move(bytes));
     limit_.set(scheduler_.now() + kIdle);
-    for (stream_.flush(); stream_.open() && !stream_.drained(); stream_.flush()) co_await signal_;
+    for (stream_.flush(); stream_.open() && !stream_.drained(); stream_.flush())
+      co_await signal_;
     busy_ = false;
     cameAt_ = idleSince_ = scheduler_.now();  // of a next request that has come already
     holds(stream_.in().capacity());
-    if (now && !stream_.in().empty()) co_await signal_.others();  // who asks at full speed takes turns
+    if (now && !stream_.in().empty())
+      co_await signal_.others();  // who asks at full speed takes turns
   }
   // What the client still sends is read until it closes: unread bytes would turn our close into a reset, and
   // that may overtake the answer.
@@ -196,10 +217,13 @@
     for (int i = 0; due && i < kPaceReads; ++i) {
       stream_.fill();
       stream_.in().clear();
-      if (!stream_.cutShort()) break;
+      if (!stream_.cutShort())
+        break;
     }
-    if (due && stream_.cutShort()) due = false, pace.set(scheduler_.now() + kPace);
-    if (stream_.open()) co_await signal_;
+    if (due && stream_.cutShort())
+      due = false, pace.set(scheduler_.now() + kPace);
+    if (stream_.open())
+      co_await signal_;
   }
   if (ticket_) {
     debug().with("command", ticket_->ask.id) << "client: has gone without an answer to " << ticket_->ask.id
@@ -217,21 +241,26 @@
 
 std::optional<std::string> Client::serve(HttpRequest&& request) {
   bool keepAlive = request.keepAlive;
-  if (auto query = request.path.find('?'); query != std::string::npos) request.path.resize(query);
+  if (auto query = request.path.find('?'); query != std::string::npos)
+    request.path.resize(query);
   if (request.path == "/check") {
-    if (request.method == "GET") return httpAnswer(200, "{}", keepAlive);
+    if (request.method == "GET")
+      return httpAnswer(200, "{}", keepAlive);
     return problem(405, "/check by " + request.method, keepAlive);
   }
-  if (!request.path.starts_with("/do/")) return problem(404, "unknown path", keepAlive);
+  if (!request.path.starts_with("/do/"))
+    return problem(404, "unknown path", keepAlive);
   if (request.method == "DELETE") {  // the command's path: /do/PROFILE with its id as a header, or /do/ID
     auto* id = request.header("req-id");
     if (dispatcher_.withdraw(id ? *id : request.path.substr(request.path.rfind('/') + 1)))
       return httpAnswer(200, "{}", keepAlive);
     return problem(404, "nothing in hand to withdraw", keepAlive);
   }
-  if (request.method != "POST") return problem(405, "/do by " + request.method, keepAlive);
+  if (request.method != "POST")
+    return problem(405, "/do by " + request.method, keepAlive);
   Reading reading = readAsk(std::move(request), settings_, cameAt_, dispatcher_.actor());
-  if (!reading.ask) return problem(reading.status, reading.why, keepAlive);
+  if (!reading.ask)
+    return problem(reading.status, reading.why, keepAlive);
   ticket_ = std::make_shared<Ticket>();
   ticket_->ask = std::move(*reading.ask);
   ticket_->asker = this;
--- a/src/serve/close_reason.cpp
+++ b/src/serve/close_reason.cpp
@@ -3,7 +3,8 @@
 namespace elmcleat {
 
 Outcome outcomeOf(CloseReason ending, bool begun) {
-  if (begun) return ending == CloseReason::timedOut ? Outcome::expired : Outcome::reset;
+  if (begun)
+    return ending == CloseReason::timedOut ? Outcome::expired : Outcome::reset;
   switch (ending) {
     // Nothing was tried at the engine, so nothing is said of it.
     case CloseReason::noDescriptor:
--- a/src/serve/discovery.cpp
+++ b/src/serve/discovery.cpp
@@ -36,14 +36,16 @@
       room_(std::max(config.sockets / 3, kLeastLinks)) {}
 
 void Discovery::start(const std::vector<ListEvent>& known) {
-  for (auto& event : known) apply(event);
+  for (auto& event : known)
+    apply(event);
   task_ = run();
   task_.start();
 }
 
 void Discovery::follow(const Address& changeLog) {
   mailbox_.post([this, changeLog] {
-    if (changeLog == changeLog_) return;
+    if (changeLog == changeLog_)
+      return;
     info() << "change log: moves to " << textOf(changeLog);
     changeLog_ = changeLog, moved_ = true;
   });
@@ -70,17 +72,23 @@
         info() << "change log: connected, from event " << last_;
       }
       stream.flush();
-      if (up && read(stream)) heard = true, within(kSilence);
-      if (moved_) stream.end(CloseReason::replaced);  // after what it had told is read
-      if (late_) stream.end(up ? CloseReason::silent : CloseReason::connectLate);
-      if (!stream.open()) break;
+      if (up && read(stream))
+        heard = true, within(kSilence);
+      if (moved_)
+        stream.end(CloseReason::replaced);  // after what it had told is read
+      if (late_)
+        stream.end(up ? CloseReason::silent : CloseReason::connectLate);
+      if (!stream.open())
+        break;
       co_await signal_;
       mailbox_.drain();
     }
     timer_.clear();
-    if (up || first) warn() << "change log: connection ended: " << nameOf(stream.closeReason());
+    if (up || first)
+      warn() << "change log: connection ended: " << nameOf(stream.closeReason());
     // What has told something, or is another, is asked at once, but never faster than what tells nothing.
-    if (moved_ || (heard && scheduler_.now() >= began + kPause)) continue;
+    if (moved_ || (heard && scheduler_.now() >= began + kPause))
+      continue;
     within(kPause);
     while (!late_ && !moved_) {
       co_await signal_;
@@ -101,7 +109,8 @@
         return any;
       }
       any = true;
-      if (state == FrameReader::State::nothingNew || event.number <= last_) continue;
+      if (state == FrameReader::State::nothingNew || event.number <= last_)
+        continue;
       if (event.number > last_ + 1 && last_ > 0)
         warn() << "change log: event " << event.number << " follows " << last_;
       apply(event);
@@ -112,7 +121,8 @@
 
 void Discovery::apply(const ListEvent& event) {
   last_ = event.number;
-  if (!event.whole && event.rows.empty()) return;
+  if (!event.whole && event.rows.empty())
+    return;
   if (!view_) {
     info() << "change log: event " << event.number << ", " << (event.whole ? "whole list" : "changes") << ", "
            << event.rows.size() << " engines named";
@@ -128,9 +138,12 @@
 void Discovery::heed(const std::vector<Listing>& changes, const char* why) {
   if (double at = view_->wakes(); at < HUGE_VAL)
     looks_.set(scheduler_.clock().fromUnix(int64_t(at * 1e3) + 1));
-  else looks_.clear();
-  for (auto& line : view_->lines()) warn() << line;
-  if (changes.empty()) return;
+  else
+    looks_.clear();
+  for (auto& line : view_->lines())
+    warn() << line;
+  if (changes.empty())
+    return;
   auto figures = view_->figures();
   info() << "view: " << changes.size() << " engines change by " << why << ", event " << last_ << ": "
          << figures.used << " of " << figures.listed << " in use, reach " << figures.reach;
@@ -142,16 +155,20 @@
   std::vector<NodeRow> rows;
   for (auto& listing : listings) {
     NodeRow& row = rows.emplace_back(listing.row);
-    if (listing.bornMs > 0) row.startedAt = scheduler_.clock().fromUnix(listing.bornMs);
+    if (listing.bornMs > 0)
+      row.startedAt = scheduler_.clock().fromUnix(listing.bornMs);
     named.insert(row.id);
     auto& engine = engines_[row.id];
     if (!engine)
       engine = std::make_unique<Engine>(scheduler_, config_.links, dispatcher_, row.id, linksEach_, room_);
-    if (row.state == NodeState::inService) engine->place(listing.address, row.startedAt);
-    else engine->retire();
+    if (row.state == NodeState::inService)
+      engine->place(listing.address, row.startedAt);
+    else
+      engine->retire();
   }
   for (auto at = engines_.begin(); at != engines_.end();) {
-    if (whole && !named.contains(at->first)) at->second->retire();  // not in a whole list: gone
+    if (whole && !named.contains(at->first))
+      at->second->retire();  // not in a whole list: gone
     at = at->second->unused() ? engines_.erase(at) : std::next(at);
   }
   // Clients hold a third of all descriptors at most; as many are for engines, and the last third is to spare.
@@ -162,13 +179,15 @@
 // --- from the dispatcher
 void Discovery::tell(uint32_t node, std::function<void(Engine&)> call) {
   mailbox_.post([this, node, call = std::move(call)] {
-    if (auto found = engines_.find(node); found != engines_.end()) call(*found->second);
+    if (auto found = engines_.find(node); found != engines_.end())
+      call(*found->second);
   });
 }
 
 void Discovery::send(uint32_t node, std::shared_ptr<Ticket> ticket, double until) {
   mailbox_.post([this, node, ticket = std::move(ticket), until] {
-    if (auto found = engines_.find(node); found != engines_.end()) return found->second->send(ticket, until);
+    if (auto found = engines_.find(node); found != engines_.end())
+      return found->second->send(ticket, until);
     // It has gone, and was forgotten, since the module decided.
     dispatcher_.ended(ticket, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
   });
@@ -191,7 +210,8 @@
 }
 
 void Discovery::rests(uint32_t node, bool is) {
-  if (!view_) return;
+  if (!view_)
+    return;
   mailbox_.post([this, node, is] {
     view_->rests(node, is);
     look();
--- a/src/serve/dispatcher.cpp
+++ b/src/serve/dispatcher.cpp
@@ -16,7 +16,8 @@
       wake_(scheduler, [this] { signal_.raise(); }),
       budgets_(plan ? std::make_unique<budget::Office>(*plan, settings.gateways) : nullptr),
       gateway_(openGateway(local.value_or(settings), seed, *this, budgets_.get())) {
-  if (plan) actor_ = lower(plan->actor);
+  if (plan)
+    actor_ = lower(plan->actor);
 }
 
 void Dispatcher::start(Engines& engines) {
@@ -31,13 +32,15 @@
     gateway_->at(scheduler_.now());
     mailbox_.drain();
     gateway_->settle();
-    for (auto& ticket : std::exchange(overNow_, {})) sweep(ticket);
+    for (auto& ticket : std::exchange(overNow_, {}))
+      sweep(ticket);
   }
 }
 
 // --- from a front door
 bool Dispatcher::take(const std::shared_ptr<Ticket>& ticket) {
-  if (!ids_.emplace(ticket->ask.id, ticket).second) return false;
+  if (!ids_.emplace(ticket->ask.id, ticket).second)
+    return false;
   mailbox_.post([this, ticket] {
     Ask& ask = ticket->ask;
     ask.endsAt = std::min(ask.endsAt, drainsBy_);
@@ -53,8 +56,10 @@
 void Dispatcher::withdraw(const std::shared_ptr<Ticket>& ticket) {
   ticket->asker = nullptr;
   mailbox_.post([this, ticket] {
-    if (std::exchange(ticket->over, true)) return;
-    if (ticket->out) engines_->withdraw(out_.at(ticket->command.get()), ticket);
+    if (std::exchange(ticket->over, true))
+      return;
+    if (ticket->out)
+      engines_->withdraw(out_.at(ticket->command.get()), ticket);
     ticket->command->withdrawn();
     sweep(ticket);
   });
@@ -62,9 +67,11 @@
 
 bool Dispatcher::withdraw(const std::string& id) {
   auto found = ids_.find(id);
-  if (found == ids_.end() || found->second->over) return false;
+  if (found == ids_.end() || found->second->over)
+    return false;
   auto ticket = found->second;
-  if (ticket->asker) ticket->asker->dismiss();
+  if (ticket->asker)
+    ticket->asker->dismiss();
   withdraw(ticket);
   return true;
 }
@@ -73,10 +80,12 @@
   mailbox_.post([this, by] {
     drainsBy_ = by;
     for (auto& [command, ticket] : tickets_) {
-      if (ticket->over || ticket->ask.endsAt <= by) continue;
+      if (ticket->over || ticket->ask.endsAt <= by)
+        continue;
       ticket->ask.endsAt = by;
       ticket->command->endsBy(by);
-      if (ticket->out) engines_->shorten(out_.at(command), ticket);
+      if (ticket->out)
+        engines_->shorten(out_.at(command), ticket);
     }
   });
 }
@@ -121,7 +130,8 @@
 
 void Dispatcher::noted(const std::shared_ptr<Ticket>& ticket, Topic topic, double level) {
   mailbox_.post([ticket, topic, level] {
-    if (ticket->out) ticket->command->note(topic, level);
+    if (ticket->out)
+      ticket->command->note(topic, level);
   });
 }
 
@@ -145,12 +155,14 @@
 void Dispatcher::terms(Command& command, int priority, double) {
   auto ticket = ticketOf(command);
   ticket->priority = priority;  // the lines spoken with engines have no word for a memory grant
-  if (ticket->out) engines_->reprioritise(out_.at(&command), ticket);
+  if (ticket->out)
+    engines_->reprioritise(out_.at(&command), ticket);
 }
 
 void Dispatcher::cancel(Command& command, int) {
   auto ticket = ticketOf(command);
-  if (ticket->out) engines_->cancel(out_.at(&command), ticket);
+  if (ticket->out)
+    engines_->cancel(out_.at(&command), ticket);
 }
 
 void Dispatcher::shed(Command& command, double retryAfter) {
@@ -167,14 +179,17 @@
 
 // --- ends
 void Dispatcher::answer(Ticket& ticket, Answer answer) {
-  if (!std::exchange(ticket.over, true)) overNow_.push_back(ticketOf(*ticket.command));
-  if (Asker* asker = std::exchange(ticket.asker, nullptr)) asker->answer(std::move(answer));
+  if (!std::exchange(ticket.over, true))
+    overNow_.push_back(ticketOf(*ticket.command));
+  if (Asker* asker = std::exchange(ticket.asker, nullptr))
+    asker->answer(std::move(answer));
 }
 
 // Forgets a command that is over and has nothing out. Until then its id stays taken: under it engines and we
 // would mistake one send for the other.
 void Dispatcher::sweep(const std::shared_ptr<Ticket>& ticket) {
-  if (ticket->over && !ticket->out && tickets_.erase(ticket->command.get())) ids_.erase(ticket->ask.id);
+  if (ticket->over && !ticket->out && tickets_.erase(ticket->command.get()))
+    ids_.erase(ticket->ask.id);
 }
 
 }  // namespace elmcleat
--- a/src/serve/door.cpp
+++ b/src/serve/door.cpp
@@ -57,21 +57,26 @@
 }
 
 void Door::drain() {
-  if (std::exchange(told_, true)) return;
+  if (std::exchange(told_, true))
+    return;
   info() << "leaving: " << clients_.size() << " connections open";
   leaving_.set(scheduler_.now() + kComing);
   double longest = 0;
-  for (auto& profile : config_.settings.profiles) longest = std::max(longest, profile.clientTimeout);
-  if (longest <= 0) longest = kLongest;  // the settings name none
+  for (auto& profile : config_.settings.profiles)
+    longest = std::max(longest, profile.clientTimeout);
+  if (longest <= 0)
+    longest = kLongest;  // the settings name none
   dispatcher_.drain(scheduler_.now() + kComing + std::min(longest, kLongest) - kSpare);
 }
 
 // Whoever connected in time is in the listener's queue, which ends with it.
 void Door::close() {
-  for (size_t i = 0; i < most_ && accept(); ++i) {}
+  for (size_t i = 0; i < most_ && accept(); ++i) {
+  }
   closed_ = true;
   listener_.reset();
-  for (auto& [client, held] : clients_) client->drain();
+  for (auto& [client, held] : clients_)
+    client->drain();
   endIfDone();
 }
 
@@ -80,13 +85,15 @@
     while (listener_) {
       if (clients_.size() >= most_ + kTurnedAway) {
         co_await signal_.others();  // those that are closed leave
-        if (!listener_) break;      // and the time to close may have come
+        if (!listener_)
+          break;  // and the time to close may have come
         if (clients_.size() >= most_ + kTurnedAway) {
           again_.set(scheduler_.now() + kPause);
           break;
         }
       }
-      if (!accept()) break;
+      if (!accept())
+        break;
     }
     co_await signal_;
     // Connections that were open before are read first: a command that comes on a new one may have come later
@@ -103,9 +110,11 @@
       admit(fd, clients_.size() >= most_ && !evictIdle());
       return true;
     }
-    if (errno == EAGAIN) return false;
+    if (errno == EAGAIN)
+      return false;
     bool none = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    if (!none || evictIdle()) continue;  // whatever else is wrong is wrong with that connection alone
+    if (!none || evictIdle())
+      continue;  // whatever else is wrong is wrong with that connection alone
     warn() << "door: no descriptor for a connection: " << std::strerror(errno);
     again_.set(scheduler_.now() + kPause);
     return false;
@@ -126,7 +135,8 @@
 bool Door::evictIdle() {
   std::vector<Client*> idle;
   for (auto& [client, held] : clients_)
-    if (client->idle()) idle.push_back(client);
+    if (client->idle())
+      idle.push_back(client);
   std::ranges::sort(idle, {}, [](Client* client) {
     return std::tuple(!client->leaving(), client->hasAsked(), client->idleSince());
   });
@@ -135,14 +145,17 @@
 
 void Door::over(Client* client) {
   auto held = clients_.extract(client);
-  if (!held.empty()) scheduler_.bury(std::move(held.mapped()));
+  if (!held.empty())
+    scheduler_.bury(std::move(held.mapped()));
   endIfDone();
 }
 
 void Door::endIfDone() {
-  if (!closed_) return;
+  if (!closed_)
+    return;
   bool owed = std::ranges::any_of(clients_, [](auto& held) { return held.first->pending(); });
-  if (owed) parting_.clear();
+  if (owed)
+    parting_.clear();
   else if (clients_.empty() || !parting_.isSet())
     parting_.set(scheduler_.now() + (clients_.empty() ? 0 : kParting));
 }
--- a/src/serve/engine.cpp
+++ b/src/serve/engine.cpp
@@ -61,40 +61,48 @@
 // --- from the list
 void Engine::place(const Address& address, std::optional<double> started) {
   mailbox_.post([this, address, started] {
-    if (address == address_ && started == started_ && !retired_) return;
-    if (!links_.empty()) release();
+    if (address == address_ && started == started_ && !retired_)
+      return;
+    if (!links_.empty())
+      release();
     address_ = address, started_ = started, retired_ = false;
   });
 }
 
 void Engine::retire() {
   mailbox_.post([this] {
-    if (!std::exchange(retired_, true)) release();
+    if (!std::exchange(retired_, true))
+      release();
   });
 }
 
 // No connection takes anything new; what has not begun to go out never will (rule 3: for drains a send counts
 // from its first byte).
 void Engine::release() {
-  while (!waiting_.empty()) endWaiting(*waiting_.front()->ticket, CloseReason::replaced);
+  while (!waiting_.empty())
+    endWaiting(*waiting_.front()->ticket, CloseReason::replaced);
   for (auto& link : links_) {
     link->old = true;
     for (auto at = link->sends.begin(); at != link->sends.end();) {
       Send& send = *(at++)->second;
-      if (send.place && !link->stream.withdraw(*send.place)) continue;
+      if (send.place && !link->stream.withdraw(*send.place))
+        continue;
       finish(*link, send, outcomeOf(CloseReason::replaced, false));
     }
-    if (link->sends.empty()) link->stream.end(CloseReason::replaced);
+    if (link->sends.empty())
+      link->stream.end(CloseReason::replaced);
   }
 }
 
 // --- from the dispatcher
 void Engine::send(std::shared_ptr<Ticket> ticket, double until) {
   mailbox_.post([this, ticket = std::move(ticket), until] {
-    if (retired_) return dispatcher_.ended(ticket, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
+    if (retired_)
+      return dispatcher_.ended(ticket, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
     double now = scheduler_.now();
     // Notes on every send come at a set pace: where two of them fail to come, the engine is cut off or gone.
-    if (settings_.noteEvery > 0 && sends_ > 0 && now > quietSince_ + 2 * settings_.noteEvery) doubt();
+    if (settings_.noteEvery > 0 && sends_ > 0 && now > quietSince_ + 2 * settings_.noteEvery)
+      doubt();
     begin(ticket, until);
   });
 }
@@ -118,21 +126,26 @@
       [this, link, id] { giveUp(*link, *link->sends.at(id), Outcome::expired); });
   send->ticket = ticket, send->sentAt = now, send->until = until;
   send->deadline.set(std::min(until, ticket->beginBy));
-  if (sends_++ == 0) quietSince_ = now;
+  if (sends_++ == 0)
+    quietSince_ = now;
   link->place->busy();
-  if (link->up) write(*link, *send);
+  if (link->up)
+    write(*link, *send);
 }
 
 // A place that was offered to us and that nobody of ours wants any more is for the next who waits.
 void Engine::beginWaiting() {
-  if (waiting_.empty()) return room_.offer();
-  for (auto& one : std::exchange(waiting_, {})) begin(one->ticket, one->until);
+  if (waiting_.empty())
+    return room_.offer();
+  for (auto& one : std::exchange(waiting_, {}))
+    begin(one->ticket, one->until);
 }
 
 // A send that waits for a connection never ran.
 void Engine::endWaiting(const Ticket& ticket, CloseReason ending) {
   auto found = std::ranges::find_if(waiting_, [&](auto& one) { return one->ticket.get() == &ticket; });
-  if (found == waiting_.end()) return;
+  if (found == waiting_.end())
+    return;
   auto kept = std::move(*found);  // the call may come from its timer
   waiting_.erase(found);
   dispatcher_.ended(kept->ticket, outcomeOf(ending, false), 0, {}, {}, {});
@@ -175,8 +188,10 @@
 
 void Engine::cancel(std::shared_ptr<Ticket> ticket) {
   mailbox_.post([this, ticket = std::move(ticket)] {
-    if (auto [link, send] = find(*ticket); send) giveUp(*link, *send, Outcome::cancelled);
-    else endWaiting(*ticket, CloseReason::timedOut);
+    if (auto [link, send] = find(*ticket); send)
+      giveUp(*link, *send, Outcome::cancelled);
+    else
+      endWaiting(*ticket, CloseReason::timedOut);
   });
 }
 
@@ -184,8 +199,10 @@
 // or behind bytes that the engine does not read.
 void Engine::withdraw(std::shared_ptr<Ticket> ticket) {
   mailbox_.post([this, ticket = std::move(ticket)] {
-    if (auto [link, send] = find(*ticket); send) endUnbegun(*link, *send);
-    else endWaiting(*ticket, CloseReason::timedOut);
+    if (auto [link, send] = find(*ticket); send)
+      endUnbegun(*link, *send);
+    else
+      endWaiting(*ticket, CloseReason::timedOut);
   });
 }
 
@@ -205,22 +222,27 @@
 
 // Its time to begin, or all of its time, is up.
 void Engine::due(Link& link, Send& send) {
-  if (scheduler_.now() >= send.until) giveUp(link, send, Outcome::expired);
-  else if (!endUnbegun(link, send)) send.deadline.set(send.until);
+  if (scheduler_.now() >= send.until)
+    giveUp(link, send, Outcome::expired);
+  else if (!endUnbegun(link, send))
+    send.deadline.set(send.until);
 }
 
 // A send of which nothing has gone out never ran. False: something has.
 bool Engine::endUnbegun(Link& link, Send& send) {
-  if (send.place && !link.stream.withdraw(*send.place)) return false;
+  if (send.place && !link.stream.withdraw(*send.place))
+    return false;
   finish(link, send, outcomeOf(CloseReason::timedOut, false));
   return true;
 }
 
 void Engine::probe() {
   mailbox_.post([this] {
-    if (retired_) return dispatcher_.probed(id_, outcomeOf(CloseReason::replaced, false), {});
+    if (retired_)
+      return dispatcher_.probed(id_, outcomeOf(CloseReason::replaced, false), {});
     Link* found = linkForProbe();
-    if (!found) return dispatcher_.probed(id_, outcomeOf(CloseReason::noDescriptor, false), {});
+    if (!found)
+      return dispatcher_.probed(id_, outcomeOf(CloseReason::noDescriptor, false), {});
     Link& link = *found;
     std::string tag(1, 'p');  // no id of a command begins so
     tag += std::to_string(++probes_);
@@ -233,7 +255,8 @@
     });
     limit->set(scheduler_.now() + settings_.connectTimeout);
     link.place->busy();
-    if (link.up) link.stream.write(engine_line::probe(tag, settings_.reports)), link.timer.clear();
+    if (link.up)
+      link.stream.write(engine_line::probe(tag, settings_.reports)), link.timer.clear();
   });
 }
 
@@ -246,25 +269,33 @@
   Link *free = nullptr, *least = nullptr;
   size_t open = 0;
   for (auto& link : links_) {
-    if (!link->stream.open()) continue;
+    if (!link->stream.open())
+      continue;
     ++open;
     size_t load = link->sends.size() + link->probes.size();
     // Where the id was given up before, its late answer would be taken for the new one's.
-    if (link->old || link->doubted || link->dropped.contains(ticket.ask.id)) continue;
-    if (load == 0 && link->up && !free) free = link.get();
+    if (link->old || link->doubted || link->dropped.contains(ticket.ask.id))
+      continue;
+    if (load == 0 && link->up && !free)
+      free = link.get();
     if (ticket.ask.key || (load > 0 && !link->sends.empty() && link->sends.begin()->second->ticket->ask.key))
       continue;
-    if (load >= static_cast<size_t>(settings_.sendsPerConnection)) continue;
-    if (!least || load < least->sends.size() + least->probes.size()) least = link.get();
+    if (load >= static_cast<size_t>(settings_.sendsPerConnection))
+      continue;
+    if (!least || load < least->sends.size() + least->probes.size())
+      least = link.get();
   }
-  if (free) return free;
-  if (least && (open >= most_ || !room_.any())) return least;
+  if (free)
+    return free;
+  if (least && (open >= most_ || !room_.any()))
+    return least;
   return room_.any() ? &connect() : nullptr;
 }
 
 Engine::Link* Engine::linkForProbe() {
   for (auto& link : links_)
-    if (link->up && link->stream.open() && !link->old && !link->doubted) return link.get();
+    if (link->up && link->stream.open() && !link->old && !link->doubted)
+      return link.get();
   return room_.any() ? &connect() : nullptr;
 }
 
@@ -284,9 +315,12 @@
 }
 
 void Engine::late(Link& link) {
-  if (!link.up) link.stream.end(CloseReason::connectLate);
-  else if (link.doubted) link.stream.end(CloseReason::silent);
-  else if (link.sends.empty() && link.probes.empty()) link.stream.end(CloseReason::idle);
+  if (!link.up)
+    link.stream.end(CloseReason::connectLate);
+  else if (link.doubted)
+    link.stream.end(CloseReason::silent);
+  else if (link.sends.empty() && link.probes.empty())
+    link.stream.end(CloseReason::idle);
   signal_.raise();
 }
 
@@ -295,11 +329,14 @@
 void Engine::doubt() {
   bool any = false;
   for (auto& link : links_) {
-    if (!link->up || link->old) continue;
+    if (!link->up || link->old)
+      continue;
     any = link->old = true;
-    if (link->sends.empty() && link->probes.empty()) link->stream.end(CloseReason::silent);
+    if (link->sends.empty() && link->probes.empty())
+      link->stream.end(CloseReason::silent);
   }
-  if (!any) return;
+  if (!any)
+    return;
   warn().with("engine", name()) << name() << ": silent for " << scheduler_.now() - quietSince_ << " s, "
                                 << sends_ << " sends out";
   signal_.raise();
@@ -308,7 +345,8 @@
 // With nothing open on it a connection waits for work, and is closed by us before the engine does it: else a
 // send could cross the close.
 void Engine::rest(Link& link) {
-  if (!link.sends.empty() || !link.probes.empty() || !link.up || !link.stream.open()) return;
+  if (!link.sends.empty() || !link.probes.empty() || !link.up || !link.stream.open())
+    return;
   if (link.old) {
     link.stream.end(CloseReason::replaced);
     signal_.raise();
@@ -321,30 +359,38 @@
 
 void Engine::serve(Link& link) {
   if (!link.up) {
-    if (!link.stream.connected()) return;
+    if (!link.stream.connected())
+      return;
     link.up = true;
     link.timer.clear();
-    for (auto at = link.sends.begin(); at != link.sends.end();) { write(link, *(at++)->second); }
-    for (auto& [tag, limit] : link.probes) link.stream.write(engine_line::probe(tag, settings_.reports));
+    for (auto at = link.sends.begin(); at != link.sends.end();) {
+      write(link, *(at++)->second);
+    }
+    for (auto& [tag, limit] : link.probes)
+      link.stream.write(engine_line::probe(tag, settings_.reports));
     rest(link);
   }
   bool news = false;  // a whole answer came
   do {
     size_t had = link.stream.in().size();
     link.stream.fill();
-    if (link.stream.in().size() > had) heard(link);
+    if (link.stream.in().size() > had)
+      heard(link);
     EngineAnswer answer;
     EngineReader::State state;
     while ((state = link.reader.next(link.stream.in(), answer)) == EngineReader::State::whole) {
       news = true;
       heed(link, answer);
-      if (link.stream.closeReason() == CloseReason::garbled) return;
+      if (link.stream.closeReason() == CloseReason::garbled)
+        return;
     }
-    if (state == EngineReader::State::bad) link.stream.end(CloseReason::garbled);
+    if (state == EngineReader::State::bad)
+      link.stream.end(CloseReason::garbled);
   } while (link.stream.open() && link.stream.cutShort());
   if (!link.stream.drained())  // the engine has read little for a while
     for (auto at = link.sends.begin(); at != link.sends.end();)
-      if (Send& send = *(at++)->second; !mayBegin(*send.ticket)) endUnbegun(link, send);
+      if (Send& send = *(at++)->second; !mayBegin(*send.ticket))
+        endUnbegun(link, send);
   link.stream.flush();
   expect(link, news);
 }
@@ -356,8 +402,10 @@
   bool owed = !link.reader.between(link.stream.in()) || std::ranges::any_of(link.sends, [](auto& held) {
     return held.second->pages.begun() && !held.second->givenUp;
   });
-  if (!owed || !link.stream.open()) link.rest.clear();
-  else if (!link.owed || news) link.rest.set(scheduler_.now() + settings_.connectTimeout);
+  if (!owed || !link.stream.open())
+    link.rest.clear();
+  else if (!link.owed || news)
+    link.rest.set(scheduler_.now() + settings_.connectTimeout);
   link.owed = owed;
 }
 
@@ -369,7 +417,8 @@
     warn().with("engine", name()) << name() << " at " << textOf(address_)
                                   << ": connection ended: " << nameOf(ending) << ", " << link.sends.size()
                                   << " sends out";
-  else debug().with("engine", name()) << name() << ": connection ended: " << nameOf(ending);
+  else
+    debug().with("engine", name()) << name() << ": connection ended: " << nameOf(ending);
   while (!link.sends.empty()) {
     Send& send = *link.sends.begin()->second;
     bool begun = send.place && link.stream.begun(*send.place);
@@ -389,16 +438,19 @@
   auto found = link.sends.find(answer.id);
   if (found ==
       link.sends.end()) {  // to nothing asked, or a second copy: it harms nothing, unless they never end
-    if (++link.strays > kMostStrays) link.stream.end(CloseReason::garbled);
+    if (++link.strays > kMostStrays)
+      link.stream.end(CloseReason::garbled);
     return;
   }
   link.strays = 0;
   Send& send = *found->second;
-  if (send.givenUp) return;  // it crossed our word
+  if (send.givenUp)
+    return;  // it crossed our word
   listen(send);
   switch (answer.word) {
     case Word::note:
-      if (answer.topic) dispatcher_.noted(send.ticket, *answer.topic, answer.level);
+      if (answer.topic)
+        dispatcher_.noted(send.ticket, *answer.topic, answer.level);
       return;
     case Word::answered:
     case Word::page:
@@ -414,20 +466,26 @@
 
 void Engine::heedPage(Link& link, Send& send, EngineAnswer& answer) {
   bool first = answer.word == Word::answered;
-  if (first ? send.pages.begun() : send.pages.has(answer.page)) return;  // a second copy
+  if (first ? send.pages.begun() : send.pages.has(answer.page))
+    return;  // a second copy
   if (!(first ? send.pages.first(answer) : send.pages.further(answer)))
     return link.stream.end(CloseReason::garbled);
   const std::string& id = send.ticket->ask.id;
   if (first && send.ticket->over) {  // withdrawn: nobody waits for the pages
-    if (send.pages.pages() > 1) link.stream.write(engine_line::close(id));
+    if (send.pages.pages() > 1)
+      link.stream.write(engine_line::close(id));
     return finish(link, send, Outcome::answered, answer.bill, answer.report, "");
   }
   if (first)
-    for (int page = 1; page < send.pages.pages(); ++page) link.stream.write(engine_line::page(id, page));
-  if (!send.pages.whole()) return;
-  if (send.pages.pages() > 1) link.stream.write(engine_line::close(id));
+    for (int page = 1; page < send.pages.pages(); ++page)
+      link.stream.write(engine_line::page(id, page));
+  if (!send.pages.whole())
+    return;
+  if (send.pages.pages() > 1)
+    link.stream.write(engine_line::close(id));
   auto rows = send.pages.rows();
-  if (!rows) return link.stream.end(CloseReason::garbled);
+  if (!rows)
+    return link.stream.end(CloseReason::garbled);
   finish(link, send, Outcome::answered, answer.bill, answer.report, std::move(rows));
 }
 
@@ -437,14 +495,17 @@
 // is given up by closing that; among others, the outcome waits until something comes: the word has arrived by
 // then.
 void Engine::giveUp(Link& link, Send& send, Outcome what) {
-  if (send.givenUp) return finish(link, send, *send.givenUp);  // heard or not, its client has gone
-  if (endUnbegun(link, send)) return;
+  if (send.givenUp)
+    return finish(link, send, *send.givenUp);  // heard or not, its client has gone
+  if (endUnbegun(link, send))
+    return;
   send.unheard.clear();
   const std::string id = send.ticket->ask.id;
   double now = scheduler_.now();
   debug().with("engine", name()).with("command", std::string(id))
       << name() << ": gives up " << id << " after " << now - send.sentAt << " s";
-  if (quietSince_ <= send.sentAt) doubt();
+  if (quietSince_ <= send.sentAt)
+    doubt();
   signal_.raise();
   if (link.sends.size() == 1) {
     finish(link, send, what);
@@ -468,10 +529,12 @@
 
 void Engine::heard(Link& link) {
   quietSince_ = scheduler_.now();
-  if (!std::exchange(link.doubted, false)) return;
+  if (!std::exchange(link.doubted, false))
+    return;
   link.timer.clear();
   for (auto at = link.sends.begin(); at != link.sends.end();)
-    if (Send& send = *(at++)->second; send.givenUp) finish(link, send, *send.givenUp);
+    if (Send& send = *(at++)->second; send.givenUp)
+      finish(link, send, *send.givenUp);
 }
 
 void Engine::finish(Link& link, Send& send, Outcome what, std::optional<Bill> bill,
--- a/src/serve/link_room.h
+++ b/src/serve/link_room.h
@@ -32,18 +32,21 @@
     Place& operator=(const Place&) = delete;
     ~Place() { leave(); }
     void idle() {
-      if (held_ && !idle_) idle_ = true, at_ = room_.idle_.insert(room_.idle_.end(), this);
+      if (held_ && !idle_)
+        idle_ = true, at_ = room_.idle_.insert(room_.idle_.end(), this);
       room_.offer();
     }
     void busy() {
-      if (std::exchange(idle_, false)) room_.idle_.erase(at_);
+      if (std::exchange(idle_, false))
+        room_.idle_.erase(at_);
     }
 
    private:
     friend class LinkRoom;
     void leave() {
       busy();
-      if (!std::exchange(held_, false)) return;
+      if (!std::exchange(held_, false))
+        return;
       --room_.held_;
       room_.offer();
     }
@@ -68,12 +71,14 @@
 
   // Raised once when there may be a place; asked again by who finds none then.
   void wait(Signal& signal) {
-    if (std::ranges::find(waiting_, &signal) == waiting_.end()) waiting_.push_back(&signal);
+    if (std::ranges::find(waiting_, &signal) == waiting_.end())
+      waiting_.push_back(&signal);
   }
   void forget(Signal& signal) { std::erase(waiting_, &signal); }
   // To the first who waits, if there is a place.
   void offer() {
-    if (waiting_.empty() || !any()) return;
+    if (waiting_.empty() || !any())
+      return;
     Signal* first = waiting_.front();
     waiting_.pop_front();
     first->raise();
--- a/src/shared/loans.cpp
+++ b/src/shared/loans.cpp
@@ -22,9 +22,12 @@
   for (size_t i = 0; i < terms.amounts.size(); ++i)
     if (!(terms.amounts[i] > 0 && std::isfinite(terms.amounts[i])))
       flaws.push_back({"amounts[" + std::to_string(i) + "]", "must be above 0"});
-  if (terms.members < 1) flaws.push_back({"members", "is below 1"});
-  if (!(terms.kept >= 0 && terms.kept <= 1)) flaws.push_back({"keptPart", "must be from 0 to 1"});
-  if (!(terms.length > 0)) flaws.push_back({"loanS", "must be above 0"});
+  if (terms.members < 1)
+    flaws.push_back({"members", "is below 1"});
+  if (!(terms.kept >= 0 && terms.kept <= 1))
+    flaws.push_back({"keptPart", "must be from 0 to 1"});
+  if (!(terms.length > 0))
+    flaws.push_back({"loanS", "must be above 0"});
   if (!(terms.guard >= 0 && 2 * terms.guard < terms.length * kRenew))
     flaws.push_back({"guardS", "must be below a quarter of loanS: no loan could be renewed before its end"});
   return flaws;
@@ -49,7 +52,8 @@
   for (auto& [borrower, loans] : lines_[amount].lent) {
     double most = 0;
     for (auto& loan : loans)
-      if (now < loan.until) most = std::max(most, loan.units);
+      if (now < loan.until)
+        most = std::max(most, loan.units);
     all += most;
   }
   return all;
@@ -58,7 +62,8 @@
 double Loans::unitsOf(const std::vector<Borrowed>& loans, size_t amount, double now) {
   double most = 0;
   for (auto& loan : loans)
-    if (now < loan.until) most = std::max(most, loan.units[amount]);
+    if (now < loan.until)
+      most = std::max(most, loan.units[amount]);
   return most;
 }
 
@@ -69,7 +74,8 @@
   for (auto& [lender, loans] : borrowed_) {
     double most = 0;
     for (auto loan = loans.rbegin(); loan != loans.rend(); ++loan) {  // later asked for, longer lasting
-      if (now >= loan->until || loan->units[amount] <= most) continue;
+      if (now >= loan->until || loan->units[amount] <= most)
+        continue;
       parts.borrowed.push_back({loan->until, loan->units[amount] - most});
       most = loan->units[amount];
     }
@@ -79,7 +85,8 @@
 
 // What this member has no use for. Who borrows lends nothing.
 double Loans::spare(size_t amount, double now) const {
-  if (!mayLend(now)) return 0;
+  if (!mayLend(now))
+    return 0;
   double own = terms_.own(amount), lent = lentOut(amount, now);
   double free = own - lent - std::max(lines_[amount].want * kMargin, own * terms_.kept);
   return free > kCrumb * own ? free : 0;
@@ -96,7 +103,8 @@
   for (auto& line : letter.lines)
     sound = sound && line.amount < lines_.size() && std::isfinite(line.units) && line.units >= 0 &&
             line.spare >= 0;
-  if (!sound) return void(++refused_);
+  if (!sound)
+    return void(++refused_);
   switch (letter.kind) {
     case Letter::Kind::ask:
       return grant(now, letter);
@@ -114,14 +122,16 @@
     auto& loans = lines_[line.amount].lent[ask.from];
     std::erase_if(loans, [&](auto& loan) { return now >= loan.until; });
     double has = 0;
-    for (auto& loan : loans) has = std::max(has, loan.units);
+    for (auto& loan : loans)
+      has = std::max(has, loan.units);
     double lends = std::min(line.units, has + spare(line.amount, now));
     // Its own use comes first again: what it wants back it doesn't renew.
     double own = terms_.own(line.amount),
            use = std::max(lines_[line.amount].want * kMargin, own * terms_.kept);
     double others = lentOut(line.amount, now) - has;
     lends = mayLend(now) ? std::clamp(lends, 0.0, std::max(own - others - use, 0.0)) : 0;
-    if (lends > 0) loans.push_back({ask.life, ask.number, lends, now + terms_.length + terms_.guard});
+    if (lends > 0)
+      loans.push_back({ask.life, ask.number, lends, now + terms_.length + terms_.guard});
     answer.lines.push_back({line.amount, lends, spare(line.amount, now)});
   }
   out_.push_back(std::move(answer));
@@ -143,8 +153,10 @@
   }
   spares_[grant.from] = {most, now};
   reach_ = got > kCrumb ? std::min(2 * reach_, kReachMost) : std::max(reach_ - 1, kReachLeast);
-  if (got > kCrumb) pause_ = 0, nextAsk_ = now;
-  if (now < until) borrowed_[grant.from].push_back(std::move(loan));
+  if (got > kCrumb)
+    pause_ = 0, nextAsk_ = now;
+  if (now < until)
+    borrowed_[grant.from].push_back(std::move(loan));
 }
 
 // Harmless to believe at any time: the borrower has stopped before it said so, and uses nothing up to that number later.
@@ -158,14 +170,16 @@
 void Loans::ask(int lender, double now, const std::vector<double>& units) {
   Letter letter{Letter::Kind::ask, self_, lender, life_, ++asks_, {}};
   for (size_t i = 0; i < units.size(); ++i)
-    if (units[i] > 0) letter.lines.push_back({uint32_t(i), units[i], 0});
+    if (units[i] > 0)
+      letter.lines.push_back({uint32_t(i), units[i], 0});
   asked_[lender] = {asks_, now};
   out_.push_back(std::move(letter));
 }
 
 // --- ticks
 void Loans::tick(double now) {
-  if (now < nextTick_) return;
+  if (now < nextTick_)
+    return;
   nextTick_ = now + kTick;
   forget(now);
   giveBack(now);
@@ -177,18 +191,22 @@
   for (auto& [lender, loans] : borrowed_) {
     auto told = spares_.find(lender);
     bool more = most > kCrumb && told != spares_.end() && told->second.first > kCrumb;
-    if (asked_.contains(lender) || (!more && now < loans.back().askedAt + kRenew * terms_.length)) continue;
+    if (asked_.contains(lender) || (!more && now < loans.back().askedAt + kRenew * terms_.length))
+      continue;
     std::vector<double> units(lines_.size());
     for (size_t i = 0; i < lines_.size(); ++i)
       units[i] = std::min(unitsOf(loans, i, now) + missing[i], terms_.own(i));
     ask(lender, now, units);
   }
-  if (most <= kCrumb) return void((reach_ = kReachLeast, pause_ = 0, nextAsk_ = now));
-  if (now < nextAsk_) return;
+  if (most <= kCrumb)
+    return void((reach_ = kReachLeast, pause_ = 0, nextAsk_ = now));
+  if (now < nextAsk_)
+    return;
   pause_ = std::clamp(2 * pause_, kTick, kPauseMost), nextAsk_ = now + pause_;
   for (int lender : lenders(now, std::min(reach_, size_t(2 * most) + 1))) {
     std::vector<double> units(lines_.size());
-    for (size_t i = 0; i < lines_.size(); ++i) units[i] = std::min(missing[i], terms_.own(i));
+    for (size_t i = 0; i < lines_.size(); ++i)
+      units[i] = std::min(missing[i], terms_.own(i));
     ask(lender, now, units);
   }
 }
@@ -198,14 +216,18 @@
   std::vector<std::pair<double, int>> known;
   std::vector<int> others, picked;
   for (int i = 0; i < terms_.members; ++i) {
-    if (i == self_ || !there_[size_t(i)] || asked_.contains(i) || borrowed_.contains(i)) continue;
+    if (i == self_ || !there_[size_t(i)] || asked_.contains(i) || borrowed_.contains(i))
+      continue;
     auto told = spares_.find(i);
-    if (told == spares_.end() || now > told->second.second + kKnown) others.push_back(i);
-    else if (told->second.first > kCrumb) known.push_back({-told->second.first, i});
+    if (told == spares_.end() || now > told->second.second + kKnown)
+      others.push_back(i);
+    else if (told->second.first > kCrumb)
+      known.push_back({-told->second.first, i});
   }
   std::ranges::sort(known);
   for (auto& [spare, lender] : known)
-    if (picked.size() < most) picked.push_back(lender);
+    if (picked.size() < most)
+      picked.push_back(lender);
   while (picked.size() < most && !others.empty()) {
     std::swap(others[chance_.next() % others.size()], others.back());
     picked.push_back(others.back()), others.pop_back();
@@ -218,7 +240,8 @@
   std::vector<std::pair<double, int>> bySize;
   for (auto& [lender, loans] : borrowed_) {
     double all = 0;
-    for (size_t i = 0; i < lines_.size(); ++i) all += unitsOf(loans, i, now) / terms_.own(i);
+    for (size_t i = 0; i < lines_.size(); ++i)
+      all += unitsOf(loans, i, now) / terms_.own(i);
     bySize.push_back({all, lender});
   }
   std::ranges::sort(bySize);
@@ -228,14 +251,16 @@
       double units = unitsOf(borrowed_.at(lender), i, now);
       needed |= units > 0 && usable(i, now) - units < lines_[i].want * kMargin;
     }
-    if (needed) continue;
+    if (needed)
+      continue;
     borrowed_.erase(lender), asked_.erase(lender);
     out_.push_back({Letter::Kind::giveBack, self_, lender, life_, asks_, {}});
   }
 }
 
 void Loans::forget(double now) {
-  for (auto& [lender, loans] : borrowed_) std::erase_if(loans, [&](auto& loan) { return now >= loan.until; });
+  for (auto& [lender, loans] : borrowed_)
+    std::erase_if(loans, [&](auto& loan) { return now >= loan.until; });
   std::erase_if(borrowed_, [](auto& it) { return it.second.empty(); });
   std::erase_if(asked_, [&](auto& it) { return now >= it.second.at + kAnswer; });
   std::erase_if(spares_, [&](auto& it) { return now > it.second.second + kKnown; });
--- a/src/shared/usable.h
+++ b/src/shared/usable.h
@@ -11,7 +11,8 @@
   std::vector<std::pair<double, double>> borrowed;  // until when, how much
   double at(double now) const {
     double all = own;
-    for (auto& [until, units] : borrowed) all += now < until ? units : 0;
+    for (auto& [until, units] : borrowed)
+      all += now < until ? units : 0;
     return all;
   }
 };
--- a/src/shared/wire.cpp
+++ b/src/shared/wire.cpp
@@ -8,7 +8,8 @@
 
 LetterWire::LetterWire(std::vector<std::string> names, std::vector<double> amounts)
     : names_(std::move(names)), amounts_(std::move(amounts)) {
-  for (uint32_t i = 0; i < names_.size(); ++i) places_.emplace(names_[i], i);
+  for (uint32_t i = 0; i < names_.size(); ++i)
+    places_.emplace(names_[i], i);
 }
 
 std::string LetterWire::write(const Letter& letter) const {
@@ -29,7 +30,8 @@
   Letter letter{Letter::Kind(told.kind()), from, to, told.life(), told.number(), {}};
   for (auto& line : told.lines()) {
     auto found = places_.find(line.amount());
-    if (found == places_.end() || !(std::abs(line.all() / amounts_[found->second] - 1) < 1e-9)) continue;
+    if (found == places_.end() || !(std::abs(line.all() / amounts_[found->second] - 1) < 1e-9))
+      continue;
     letter.lines.push_back({found->second, line.units(), line.spare()});
   }
   return letter;
--- a/src/time_ring.h
+++ b/src/time_ring.h
@@ -20,12 +20,14 @@
   double sum(double now) {
     turnTo(now);
     double all = 0;
-    for (double value : buckets_) all += value;
+    for (double value : buckets_)
+      all += value;
     return all;
   }
   double surely(double now) {
     double all = sum(now);
-    for (int64_t back = 1; back <= 2; ++back) all -= buckets_[static_cast<size_t>(head_ + back) % kBuckets];
+    for (int64_t back = 1; back <= 2; ++back)
+      all -= buckets_[static_cast<size_t>(head_ + back) % kBuckets];
     return all;
   }
 
@@ -33,10 +35,13 @@
   static constexpr int64_t kBuckets = 18;
   void turnTo(double now) {
     auto slot = static_cast<int64_t>(std::floor(now / width_)) + kBuckets;
-    if (slot - head_ >= kBuckets) buckets_.fill(0);
+    if (slot - head_ >= kBuckets)
+      buckets_.fill(0);
     else
-      for (int64_t next = head_ + 1; next <= slot; ++next) buckets_[static_cast<size_t>(next) % kBuckets] = 0;
-    if (slot > head_) head_ = slot;
+      for (int64_t next = head_ + 1; next <= slot; ++next)
+        buckets_[static_cast<size_t>(next) % kBuckets] = 0;
+    if (slot > head_)
+      head_ = slot;
   }
   double width_;
   int64_t head_ = 0;
--- a/src/tools/lab.cpp
+++ b/src/tools/lab.cpp
@@ -30,7 +30,8 @@
   std::vector<std::string> variants{""};
   variants.insert(variants.end(), scene.against.begin(), scene.against.end());
   for (auto& name : options.against)
-    if (std::ranges::find(variants, name) == variants.end()) variants.push_back(name);
+    if (std::ranges::find(variants, name) == variants.end())
+      variants.push_back(name);
   std::vector<Run> runs;
   for (auto& name : variants)
     for (uint64_t seed = options.seed; seed < options.seed + options.seeds; ++seed) {
@@ -48,8 +49,10 @@
       }
       run.figures = figuresOf(scene, run.record);
       bool baseline = name == "random" || name == "fifo";
-      if (!baseline) run.broken = brokenRules(scene, run.record);  // baselines promise nothing
-      if (seed > options.seed) run.record = {};
+      if (!baseline)
+        run.broken = brokenRules(scene, run.record);  // baselines promise nothing
+      if (seed > options.seed)
+        run.record = {};
       runs.push_back(std::move(run));
     }
   auto figures = gather(scene, runs);
@@ -61,7 +64,8 @@
     std::cout << "report: " << folder << "/report.html\n";
   }
   bool sound = std::ranges::all_of(verdicts, &Verdict::met);
-  for (auto& run : runs) sound &= run.broken.empty();
+  for (auto& run : runs)
+    sound &= run.broken.empty();
   return sound;
 }
 
@@ -78,10 +82,12 @@
     for (auto& scene : plan.scenes)
       std::erase_if(scene.sizes, [&](int size) { return !std::ranges::count(options.sizes, size); });
   FiguresFile earlier;  // read before anything is played: a faulty one must not cost a run
-  if (!options.with.empty()) earlier = readFigures(options.with);
+  if (!options.with.empty())
+    earlier = readFigures(options.with);
   auto whole = [&](FiguresFile file) {
     file.plan = readJson(options.plan), file.machine["conditions"] = options.conditions;
-    if (options.with.empty()) return file;
+    if (options.with.empty())
+      return file;
     addEarlier(file, earlier), file.machine["earlier"] = earlier.machine;
     return file;
   };
@@ -90,7 +96,8 @@
       playMembers(plan, options.threads, [&](const FiguresFile& sofar, const std::string& line) {
         std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
         std::cerr << long(took.count()) << " s: " << line << '\n';
-        if (!options.json.empty()) writeFigures(options.json, whole(sofar));
+        if (!options.json.empty())
+          writeFigures(options.json, whole(sofar));
         sound &= std::ranges::none_of(sofar.missing, [](auto& one) { return one.figure == "members"; });
       });
   std::cout << tableOf({whole(file)}, {""});
@@ -101,20 +108,24 @@
 bool scale(const std::string& path, const std::string& program, const std::string& json) {
   ScalePlan plan = readScalePlan(path);
   FiguresFile file = runScale(plan, program);
-  if (!json.empty()) writeFigures(json, file);
+  if (!json.empty())
+    writeFigures(json, file);
   std::cout << tableOf({file}, {""});
   auto lines = unmet(plan, file);
-  for (auto& line : lines) std::cout << "unmet: " << line << '\n';
+  for (auto& line : lines)
+    std::cout << "unmet: " << line << '\n';
   return lines.empty() && file.missing.empty();
 }
 
 // Whether the page stands as the figures have it; `write`: it does then.
 bool capacity(const std::string& path, const std::vector<std::string>& names, bool write) {
   std::vector<FiguresFile> files;
-  for (auto& name : names) files.push_back(readFigures(name));
+  for (auto& name : names)
+    files.push_back(readFigures(name));
   std::stringstream page;
   page << std::ifstream(path).rdbuf();
-  if (write) std::ofstream(path) << filled(page.str(), files);
+  if (write)
+    std::ofstream(path) << filled(page.str(), files);
   else if (auto difference = firstDifference(page.str(), files)) {
     std::cout << path << ": " << *difference << '\n';
     return false;
@@ -169,14 +180,17 @@
   app.require_subcommand(1, 1);
   CLI11_PARSE(app, count, words);
   bool sound = true;
-  if (!run->parsed()) try {
-      if (members->parsed()) return runMembers(membersOptions) ? 0 : 1;
+  if (!run->parsed())
+    try {
+      if (members->parsed())
+        return runMembers(membersOptions) ? 0 : 1;
       return (scaling->parsed() ? scale(plan, program, json) : capacity(page, figures, write)) ? 0 : 1;
     } catch (const std::exception& fault) {
       std::cerr << fault.what() << '\n';
       return 1;
     }
-  for (auto& file : options.files) try {
+  for (auto& file : options.files)
+    try {
       sound &= runOne(file, options);
     } catch (const std::exception& fault) {
       std::cerr << fault.what() << '\n';
--- a/src/view/plan.cpp
+++ b/src/view/plan.cpp
@@ -25,7 +25,8 @@
 std::string number(double value) {  // without the zeros that std::to_string adds
   std::string text = std::to_string(value);
   text.erase(text.find_last_not_of('0') + 1);
-  if (text.back() == '.') text.pop_back();
+  if (text.back() == '.')
+    text.pop_back();
   return text;
 }
 
@@ -34,7 +35,8 @@
 std::vector<Flaw> flawsOf(const Plan& plan) {
   std::vector<Flaw> flaws;
   auto need = [&](bool sound, const char* key, double found, const std::string& allowed) {
-    if (!sound) flaws.push_back({key, "found " + number(found) + "; allowed is " + allowed});
+    if (!sound)
+      flaws.push_back({key, "found " + number(found) + "; allowed is " + allowed});
   };
   need(plan.users >= 1, "users", plan.users, "1 or more");
   need(plan.mostUsers >= plan.users, "mostUsers", plan.mostUsers,
--- a/src/view/reach.cpp
+++ b/src/view/reach.cpp
@@ -30,7 +30,8 @@
 }
 
 void Reach::count(int place, int by) {
-  if (size_t(place) >= usable_.size()) usable_.resize(size_t(place) + 1);
+  if (size_t(place) >= usable_.size())
+    usable_.resize(size_t(place) + 1);
   usable_[size_t(place)] += by;
 }
 
@@ -51,9 +52,11 @@
 void Reach::settle(double now) {
   const int need = this->need(), bound = this->bound(), known = int(usable_.size());
   int wanted = base_, seen = 0;
-  for (int place = 0; place < std::min(base_, known); ++place) seen += usable_[size_t(place)];
+  for (int place = 0; place < std::min(base_, known); ++place)
+    seen += usable_[size_t(place)];
   for (int place = base_; place < std::min(bound, known) && seen < need; ++place)
-    if (int more = usable_[size_t(place)]; more > 0) seen += more, wanted = place + 1;
+    if (int more = usable_[size_t(place)]; more > 0)
+      seen += more, wanted = place + 1;
   reach_ = std::min(reach_, bound);
 
   if (wanted >= reach_) {
@@ -70,7 +73,8 @@
     narrowsAt_ = std::min(narrowsAt_, now + std::max(plan_.narrowAfter, kNarrowPeriod));
   keeps_ = seen < need ? bound : reach_;
   usableInView_ = 0;
-  for (int place = 0; place < std::min(reach_, known); ++place) usableInView_ += usable_[size_t(place)];
+  for (int place = 0; place < std::min(reach_, known); ++place)
+    usableInView_ += usable_[size_t(place)];
 }
 
 }  // namespace elmcleat::view
--- a/src/view/view.cpp
+++ b/src/view/view.cpp
@@ -17,12 +17,15 @@
 std::vector<const Listing*> lastOfEach(const std::vector<Listing>& rows) {
   std::vector<const Listing*> last;
   last.reserve(rows.size());
-  for (auto& row : rows) last.push_back(&row);
+  for (auto& row : rows)
+    last.push_back(&row);
   auto id = [](const Listing* row) { return row->row.id; };
-  if (!std::ranges::is_sorted(last, {}, id)) std::ranges::stable_sort(last, {}, id);
+  if (!std::ranges::is_sorted(last, {}, id))
+    std::ranges::stable_sort(last, {}, id);
   auto end = last.begin();
   for (auto at = last.begin(); at != last.end(); ++at)
-    if (at + 1 == last.end() || id(*at) != id(at[1])) *end++ = *at;
+    if (at + 1 == last.end() || id(*at) != id(at[1]))
+      *end++ = *at;
   last.erase(end, last.end());
   return last;
 }
@@ -51,7 +54,8 @@
 Settings View::local() const {
   Settings local = settings_;
   local.gateways = base_, local.ordinal = -1;
-  for (auto& tenant : local.tenants) tenant.quota *= double(base_) / settings_.gateways;
+  for (auto& tenant : local.tenants)
+    tenant.quota *= double(base_) / settings_.gateways;
   return local;
 }
 
@@ -61,7 +65,8 @@
   if (fresh) {
     Make& make = makes_.emplace_back(Make{zone, kind, {}, 0});
     for (size_t i = 0; i < reaches_.size(); ++i)
-      if (reaches_[i].serves(zone, kind)) make.classes.push_back(i);
+      if (reaches_[i].serves(zone, kind))
+        make.classes.push_back(i);
   }
   return at->second;
 }
@@ -81,7 +86,8 @@
   listing.row.id = entry.id, listing.row.zone = make.zone, listing.row.kind = make.kind;
   listing.row.cell = entry.cell, listing.row.state = entry.state;
   listing.address = {entry.host, entry.port}, listing.bornMs = entry.bornMs;
-  if (entry.place < base_) listing.row.place = entry.place;
+  if (entry.place < base_)
+    listing.row.place = entry.place;
   return listing;
 }
 
@@ -91,26 +97,33 @@
 }
 
 void View::list(const Entry& entry, int by) {
-  if (entry.state != NodeState::inService) return;
+  if (entry.state != NodeState::inService)
+    return;
   listed_ += size_t(by), used_ += entry.inView ? size_t(by) : 0;
-  for (size_t which : makes_[entry.make].classes) reaches_[which].list(by);
+  for (size_t which : makes_[entry.make].classes)
+    reaches_[which].list(by);
 }
 
 void View::index(Entry& entry, bool is) {
-  if (!entry.near || entry.indexed == is) return;
+  if (!entry.near || entry.indexed == is)
+    return;
   entry.indexed = is;
   auto keep = [is](auto& set, auto key) { is ? void(set.insert(key)) : void(set.erase(key)); };
   keep(near_, std::pair{entry.place, entry.id});
-  if (entry.state != NodeState::inService) return;
-  if (entry.cold) keep(cold_, std::pair{entry.bornMs, entry.id});
-  if (entry.rests || (entry.cold && entry.place >= base_)) return;
+  if (entry.state != NodeState::inService)
+    return;
+  if (entry.cold)
+    keep(cold_, std::pair{entry.bornMs, entry.id});
+  if (entry.rests || (entry.cold && entry.place >= base_))
+    return;
   for (size_t which : makes_[entry.make].classes)
     entry.cold ? reaches_[which].countCold(is ? 1 : -1) : reaches_[which].count(entry.place, is ? 1 : -1);
 }
 
 void View::rank(Entry& entry) {
   int cap = makes_[entry.make].cap;
-  if (entry.near || entry.place >= cap) return;
+  if (entry.near || entry.place >= cap)
+    return;
   entry.place = placeOf(entry.id, settings_.ordinal, settings_.gateways, cap), ++ranked_;
   entry.near = entry.place < cap;
 }
@@ -118,7 +131,8 @@
 void View::update(Entry& entry, const Listing& listing, double now) {
   Entry next = entryOf(listing, now);
   bool same = next.host == entry.host && next.port == entry.port && next.bornMs == entry.bornMs;
-  if (same && next.make == entry.make && next.cell == entry.cell && next.state == entry.state) return;
+  if (same && next.make == entry.make && next.cell == entry.cell && next.state == entry.state)
+    return;
   index(entry, false), list(entry, -1);
   next.place = entry.place, next.near = entry.near, next.inView = entry.inView;
   next.rests = entry.rests && same, next.changed = true;
@@ -129,7 +143,8 @@
 void View::remove(Entry& entry, Changes& changes) {
   index(entry, false), list(entry, -1);
   entry.state = NodeState::gone;
-  if (entry.inView) changes.push_back(listingOf(entry));
+  if (entry.inView)
+    changes.push_back(listingOf(entry));
 }
 
 // The table moves once an event, as bytes: 1.4 MB at 44,000 engines. A whole list is compared row by row;
@@ -142,13 +157,16 @@
   auto at = table_.begin();
   for (const Listing* row : lastOfEach(event.rows)) {
     if (event.whole)
-      for (; at != table_.end() && at->id < row->row.id; ++at) drop(*at);
+      for (; at != table_.end() && at->id < row->row.id; ++at)
+        drop(*at);
     else
       at =
           std::lower_bound(at, table_.end(), row->row.id, [](auto& entry, auto id) { return entry.id < id; });
     bool known = at != table_.end() && at->id == row->row.id, stays = row->row.state != NodeState::gone;
-    if (known && stays) update(*at, *row, now);
-    if (known && !stays) drop(*at);
+    if (known && stays)
+      update(*at, *row, now);
+    if (known && !stays)
+      drop(*at);
     if (!known && stays) {
       Entry& entry = fresh.emplace_back(entryOf(*row, now));
       entry.changed = true, list(entry, 1), touched_.push_back(entry.id);
@@ -156,10 +174,13 @@
     at += known;
   }
   if (event.whole)
-    for (; at != table_.end(); ++at) drop(*at);
+    for (; at != table_.end(); ++at)
+      drop(*at);
 
-  if (gone) std::erase_if(table_, [](auto& entry) { return entry.state == NodeState::gone; });
-  if (size_t size = table_.size() + fresh.size(); size > table_.capacity()) table_.reserve(size + size / 8);
+  if (gone)
+    std::erase_if(table_, [](auto& entry) { return entry.state == NodeState::gone; });
+  if (size_t size = table_.size() + fresh.size(); size > table_.capacity())
+    table_.reserve(size + size / 8);
   auto middle = table_.insert(table_.end(), fresh.begin(), fresh.end());
   std::ranges::inplace_merge(table_, middle, {}, &Entry::id);
   settle(now, changes);
@@ -176,26 +197,33 @@
   int lowered = settings_.gateways;
   for (Make& make : makes_) {
     int cap = base_;
-    for (size_t which : make.classes) cap = std::max(cap, reaches_[which].bound());
-    if (cap <= make.cap && 4 * cap > make.cap) continue;
+    for (size_t which : make.classes)
+      cap = std::max(cap, reaches_[which].bound());
+    if (cap <= make.cap && 4 * cap > make.cap)
+      continue;
     cap > make.cap ? raised |= make.cap > 0 : lowered = std::min(lowered, cap);
     make.cap = cap;
   }
   std::vector<uint32_t> beyond;
   for (auto at = near_.lower_bound({lowered, 0}); at != near_.end(); ++at)
-    if (at->first >= makes_[find(at->second)->make].cap) beyond.push_back(at->second);
+    if (at->first >= makes_[find(at->second)->make].cap)
+      beyond.push_back(at->second);
   for (uint32_t id : beyond) {
     Entry& entry = *find(id);
     index(entry, false), entry.near = false, touched_.push_back(id);
   }
-  if (!raised) return;
+  if (!raised)
+    return;
   for (Entry& entry : table_)
-    if (!entry.near && entry.place < makes_[entry.make].cap) touched_.push_back(entry.id);
+    if (!entry.near && entry.place < makes_[entry.make].cap)
+      touched_.push_back(entry.id);
 }
 
 bool View::belongs(const Entry& entry) const {
-  if (entry.place < base_) return true;  // one that isn't `near` has a place beyond all that follows
-  if (entry.state != NodeState::inService) return entry.inView;  // until it has gone
+  if (entry.place < base_)
+    return true;  // one that isn't `near` has a place beyond all that follows
+  if (entry.state != NodeState::inService)
+    return entry.inView;  // until it has gone
   return !entry.cold && std::ranges::any_of(makes_[entry.make].classes, [&](size_t which) {
     return entry.place < (entry.inView && entry.rests ? reaches_[which].keeps() : reaches_[which].now());
   });
@@ -204,21 +232,26 @@
 void View::tell(Entry& entry, Changes& changes) {
   bool is = belongs(entry), changed = entry.changed;
   entry.changed = false;
-  if (is ? entry.inView && !changed : !entry.inView) return;
-  if (entry.state == NodeState::inService) used_ += size_t(int(is) - int(entry.inView));
+  if (is ? entry.inView && !changed : !entry.inView)
+    return;
+  if (entry.state == NodeState::inService)
+    used_ += size_t(int(is) - int(entry.inView));
   entry.inView = is;
   Listing& told = changes.emplace_back(listingOf(entry));
-  if (is) return;
+  if (is)
+    return;
   told.row.state = NodeState::gone;
   // Nobody looks at it any more. No class is short of engines as far out as that: none comes to count on it.
-  if (entry.rests) index(entry, false), entry.rests = false, index(entry, true);
+  if (entry.rests)
+    index(entry, false), entry.rests = false, index(entry, true);
 }
 
 void View::settle(double now, Changes& changes) {
   now_ = now, due_ = false;
   setCaps();
   for (uint32_t id : touched_)
-    if (Entry* entry = find(id)) rank(*entry), index(*entry, true);
+    if (Entry* entry = find(id))
+      rank(*entry), index(*entry, true);
   while (!cold_.empty() && warmAt(cold_.begin()->first) <= now) {
     Entry& entry = *find(cold_.begin()->second);
     index(entry, false), entry.cold = false, index(entry, true);
@@ -227,24 +260,29 @@
   for (Reach& reach : reaches_) {
     int from = reach.now(), to = reach.keeps();
     reach.settle(now);
-    if (from == reach.now() && to == reach.keeps()) continue;
+    if (from == reach.now() && to == reach.keeps())
+      continue;
     from = std::min(from, reach.now()), to = std::max(to, reach.now());
     for (auto at = near_.lower_bound({from, 0}); at != near_.end() && at->first < to; ++at)
       touched_.push_back(at->second);
   }
   for (size_t i = 0; i < reaches_.size(); ++i)
-    if (reaches_[i].served()) told_[i] = false;
+    if (reaches_[i].served())
+      told_[i] = false;
   std::ranges::sort(touched_);
   touched_.erase(std::unique(touched_.begin(), touched_.end()), touched_.end());
   for (uint32_t id : touched_)
-    if (Entry* entry = find(id)) tell(*entry, changes);
+    if (Entry* entry = find(id))
+      tell(*entry, changes);
   touched_.clear();
-  if (touched_.capacity() > 4096) touched_.shrink_to_fit();  // a whole list came
+  if (touched_.capacity() > 4096)
+    touched_.shrink_to_fit();  // a whole list came
 }
 
 void View::rests(uint32_t engine, bool is) {
   Entry* entry = find(engine);
-  if (!entry || !entry->inView || entry->rests == is) return;
+  if (!entry || !entry->inView || entry->rests == is)
+    return;
   index(*entry, false), entry->rests = is, index(*entry, true);
   due_ = true;
 }
@@ -256,9 +294,11 @@
 }
 
 double View::wakes() const {
-  if (due_) return now_;
+  if (due_)
+    return now_;
   double at = cold_.empty() ? HUGE_VAL : warmAt(cold_.begin()->first);
-  for (auto& reach : reaches_) at = std::min(at, reach.wakes());
+  for (auto& reach : reaches_)
+    at = std::min(at, reach.wakes());
   return at;
 }
 
@@ -267,13 +307,15 @@
   std::vector<std::string> lines;
   for (size_t i = 0; i < reaches_.size(); ++i) {
     Reach& reach = reaches_[i];
-    if (reach.listed() == 0 || reach.served() || told_[i]) continue;
+    if (reach.listed() == 0 || reach.served() || told_[i])
+      continue;
     told_[i] = true;
     int rest = 0, cold = 0;
     for (auto& [place, id] : near_) {
       const Entry& entry = *find(id);
       auto& classes = makes_[entry.make].classes;
-      if (entry.state != NodeState::inService || std::ranges::find(classes, i) == classes.end()) continue;
+      if (entry.state != NodeState::inService || std::ranges::find(classes, i) == classes.end())
+        continue;
       rest += entry.rests, cold += entry.cold && !entry.inView;
     }
     lines.push_back(lineOf(Wrong::noEngine,
@@ -288,7 +330,8 @@
 
 Figures View::figures() const {
   Figures figures{listed_, used_, base_, ranked_, near_.size()};
-  for (auto& reach : reaches_) figures.reach = std::max(figures.reach, reach.now());
+  for (auto& reach : reaches_)
+    figures.reach = std::max(figures.reach, reach.now());
   return figures;
 }
 
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -16,7 +16,8 @@
 
 Entry entry(const std::string& name, double guarantee, double weight = 1, int priority = 1) {
   Entry made{name, "", {}};
-  if (guarantee > 0) made.terms.guarantee.cores = guarantee;
+  if (guarantee > 0)
+    made.terms.guarantee.cores = guarantee;
   made.terms.weight = weight, made.terms.priority = priority, made.terms.ageAfter = 1e6;
   return made;
 }
@@ -40,7 +41,8 @@
   // Starts what the tree says, and ends it at once after its work; false: nobody may start.
   bool serve(double billed = 0) {
     Item* item = tree.next(now);
-    if (!item) return false;
+    if (!item)
+      return false;
     tree.unhold(*item, now), tree.started(*item, now);
     now += item->work;
     done[item->actor[0]] += item->work;
@@ -50,7 +52,8 @@
   }
   double part(const std::string& team) {
     double all = 0;
-    for (auto& [name, work] : done) all += work;
+    for (auto& [name, work] : done)
+      all += work;
     return done[team] / all;
   }
   double now = 0;
@@ -64,33 +67,41 @@
 
 TEST_CASE("what is left is borrowed by weight, a guarantee comes first, and what is unused is lent") {
   Stage stage(planOf({entry("a", 0.5), entry("b", 0, 3), entry("c", 0, 1)}));
-  for (int i = 0; i < 1000; ++i) stage.come({"a"}), stage.come({"b"}), stage.come({"c"}, 0.2);
-  while (stage.now < 40) REQUIRE(stage.serve());
+  for (int i = 0; i < 1000; ++i)
+    stage.come({"a"}), stage.come({"b"}), stage.come({"c"}, 0.2);
+  while (stage.now < 40)
+    REQUIRE(stage.serve());
   // a: its half, and a fifth of the other half by weight 1 of 5.
   CHECK_EQ(stage.part("a"), doctest::Approx(0.6).epsilon(0.05));
   CHECK_EQ(stage.part("b"), doctest::Approx(0.3).epsilon(0.05));
   CHECK_EQ(stage.part("c"), doctest::Approx(0.1).epsilon(0.1));
 
   Stage alone(planOf({entry("a", 0.5), entry("b", 0)}));
-  for (int i = 0; i < 100; ++i) alone.come({"b"});
-  while (alone.serve()) {}
+  for (int i = 0; i < 100; ++i)
+    alone.come({"b"});
+  while (alone.serve()) {
+  }
   CHECK_EQ(alone.part("b"), 1);  // nobody else is there
   CHECK_EQ(alone.now, doctest::Approx(10));
 }
 
 TEST_CASE("a team that comes back after an idle hour has its guarantee at the next pick") {
   Stage stage(planOf({entry("a", 0.5), entry("b", 0)}));
-  for (int i = 0; i < 100; ++i) stage.come({"b"});
+  for (int i = 0; i < 100; ++i)
+    stage.come({"b"});
   stage.now = 3600;
-  for (int i = 0; i < 20; ++i) stage.serve();
+  for (int i = 0; i < 20; ++i)
+    stage.serve();
   Item& back = stage.come({"a"});
   stage.serve();
   CHECK_EQ(stage.order.back(), &back);
   // It has put by no more than its burst, a second of half a core: not an hour of it.
-  for (int i = 0; i < 100; ++i) stage.come({"a"});
+  for (int i = 0; i < 100; ++i)
+    stage.come({"a"});
   stage.done.clear();
   double from = stage.now;
-  while (stage.now < from + 4) stage.serve();
+  while (stage.now < from + 4)
+    stage.serve();
   CHECK_LT(stage.done["a"], 0.5 * 4 + 0.5 + 0.5 * 0.5 * 4 + 0.2);
   CHECK_GT(stage.done["b"], 0.5);
 }
@@ -100,9 +111,11 @@
   Stage stage(plan);
   for (int i = 0; i < 1000; ++i)
     stage.come({"team", "u1"}), stage.come({"team", "u2"}), stage.come({"other"});
-  while (stage.now < 40) stage.serve();
+  while (stage.now < 40)
+    stage.serve();
   std::map<std::string, double> users;
-  for (Item* item : stage.order) users[item->actor.size() > 2 ? item->actor[1] : "other"] += item->work;
+  for (Item* item : stage.order)
+    users[item->actor.size() > 2 ? item->actor[1] : "other"] += item->work;
   CHECK_GE(users["u1"] / stage.now, 0.5);
   CHECK_EQ(users["other"] / stage.now, doctest::Approx(0.4).epsilon(0.05));  // four fifths of the other half
   CHECK_EQ(users["u2"] / stage.now, doctest::Approx(0.05).epsilon(0.1));
@@ -112,10 +125,12 @@
   Entry capped = entry("a", 0);
   capped.terms.ceiling.cores = 0.01;  // a command of 0.1 s every 10 s
   Stage stage(planOf({capped}));
-  for (int i = 0; i < 10; ++i) stage.come({"a"});
+  for (int i = 0; i < 10; ++i)
+    stage.come({"a"});
   int started = 0;
   for (stage.now = 0; stage.now < 60; stage.now += 0.5)
-    while (stage.serve()) ++started;
+    while (stage.serve())
+      ++started;
   CHECK_GE(started, 5);
   CHECK_LE(started, 7);
   CHECK_GT(stage.tree.wakes(stage.now), stage.now);
@@ -140,7 +155,8 @@
   }
   auto start = [&] {
     Item* item = tree.next(0);
-    if (item) tree.unhold(*item, 0), tree.started(*item, 0);
+    if (item)
+      tree.unhold(*item, 0), tree.started(*item, 0);
     return item;
   };
   Item* first = start();
@@ -159,7 +175,8 @@
     Pcg32 chance(static_cast<uint64_t>(seed));
     Plan plan = planOf({entry("high", 0, 1, 5), entry("sure", 0.5), entry("low", 0, 1, 0)});
     plan.agedPart = 0.1 + 0.3 * chance.unit();
-    for (auto& one : plan.entries) one.terms.ageAfter = 2;
+    for (auto& one : plan.entries)
+      one.terms.ageAfter = 2;
     Stage stage(plan);
     // The machine does a second of work a second; twice as much comes, most of it of high priority.
     double comes = 0;
@@ -194,14 +211,17 @@
   Plan plan = planOf({entry("high", 0, 1, 5), entry("low", 0, 1, 0)});
   Stage stage(plan);
   stage.come({"low"});
-  for (int i = 0; i < 50; ++i) stage.come({"high"});
-  for (int i = 0; i < 50; ++i) stage.serve();
+  for (int i = 0; i < 50; ++i)
+    stage.come({"high"});
+  for (int i = 0; i < 50; ++i)
+    stage.serve();
   CHECK_EQ(stage.done.count("low"), 0);  // its ageing time of 1,000 s is far
 }
 
 TEST_CASE("a team whose commands cost 20 times their estimate pays for what they cost") {
   Stage stage(planOf({entry("honest", 0), entry("liar", 0)}));
-  for (int i = 0; i < 2000; ++i) stage.come({"honest"}, 0.1), stage.come({"liar"}, 0.01);
+  for (int i = 0; i < 2000; ++i)
+    stage.come({"honest"}, 0.1), stage.come({"liar"}, 0.01);
   std::map<std::string, double> real;
   while (stage.now < 200) {
     Item* item = stage.tree.next(stage.now);
@@ -220,12 +240,15 @@
   Stage stage(plan);
   for (int i = 0; i < 20'000; ++i) {
     stage.come({"team", "user" + std::to_string(i)}, 0.001);
-    if (i % 3 == 0) stage.come({"stranger" + std::to_string(i)}, 0.001);
-    if (i % 100 > 50) stage.serve();  // up to hundreds are held, beyond the bound as well
+    if (i % 3 == 0)
+      stage.come({"stranger" + std::to_string(i)}, 0.001);
+    if (i % 100 > 50)
+      stage.serve();  // up to hundreds are held, beyond the bound as well
     CHECK_LE(stage.tree.size(), 500 + 4);
   }
   size_t held = stage.tree.root().held, served = 0;
-  while (stage.serve()) ++served;
+  while (stage.serve())
+    ++served;
   CHECK_EQ(served, held);
   stage.now += 100;
   stage.come({"team", "last"});
@@ -236,7 +259,8 @@
   Plan before = planOf({entry("a", 0.5), entry("b", 0), entry("b/u", 0.2)});
   Stage stage(before);
   std::set<Item*> held;
-  for (int i = 0; i < 50; ++i) held.insert(&stage.come({"a"})), held.insert(&stage.come({"b", "u"}));
+  for (int i = 0; i < 50; ++i)
+    held.insert(&stage.come({"a"})), held.insert(&stage.come({"b", "u"}));
   Item* out = stage.tree.next(stage.now);
   stage.tree.unhold(*out, stage.now), stage.tree.started(*out, stage.now), held.erase(out);
   Entry moved = entry("b", 0.9);
@@ -257,7 +281,8 @@
     CHECK_GT(item->number, std::exchange(last[item->actor[0]], item->number));  // still first in, first out
   }
   CHECK_GT(stage.done["b"], 3 * stage.done["a"]);  // the new guarantee counts
-  while (stage.serve()) held.erase(stage.order.back());
+  while (stage.serve())
+    held.erase(stage.order.back());
   CHECK(held.empty());
 }
 
@@ -269,9 +294,12 @@
     for (int i = 0; i < 6; ++i) {
       Entry one = entry("t" + std::to_string(i), chance.unit() < 0.5 ? chance.unit() : 0, 0.5 + chance.unit(),
                         int(chance.next() % 4));
-      if (i > 0 && chance.unit() < 0.3) one.parent = "t" + std::to_string(chance.next() % uint32_t(i));
-      if (chance.unit() < 0.3) one.terms.ceiling.cores = one.terms.guarantee.cores.value_or(0) + 0.2;
-      if (chance.unit() < 0.3) one.terms.ceiling.sends = 1 + chance.next() % 3;
+      if (i > 0 && chance.unit() < 0.3)
+        one.parent = "t" + std::to_string(chance.next() % uint32_t(i));
+      if (chance.unit() < 0.3)
+        one.terms.ceiling.cores = one.terms.guarantee.cores.value_or(0) + 0.2;
+      if (chance.unit() < 0.3)
+        one.terms.ceiling.sends = 1 + chance.next() % 3;
       one.terms.ageAfter = chance.between(0.1, 3);
       plan.entries.push_back(one);
     }
@@ -295,7 +323,8 @@
         tree.take(item, now), tree.hold(item, false, now), ++held;
       } else if (what < 0.8) {
         Item* item = tree.next(now);
-        if (!item) continue;
+        if (!item)
+          continue;
         RC_ASSERT(item->held && !item->out);
         if (chance.unit() < 0.4) {
           tree.lost(*item, chance.between(0.02, 0.1), now);
@@ -307,14 +336,17 @@
         Item* item = out.back();
         out.pop_back();
         tree.ended(*item, chance.between(0.01, 1), now);
-        if (chance.unit() < 0.3) tree.hold(*item, true, now), ++held;  // goes again
-        else tree.forget(*item, now);
+        if (chance.unit() < 0.3)
+          tree.hold(*item, true, now), ++held;  // goes again
+        else
+          tree.forget(*item, now);
       }
       RC_ASSERT(tree.root().held == held);
       RC_ASSERT(tree.root().sends == double(out.size()));
       RC_ASSERT(tree.size() <= plan.maxNodes + 2 * plan.entries.size() + 1);
     }
-    for (Item* item : out) tree.ended(*item, 0, now), tree.forget(*item, now);
+    for (Item* item : out)
+      tree.ended(*item, 0, now), tree.forget(*item, now);
     for (int step = 0; step < 20'000 && held > 0; ++step) {  // all that may run does, in the end
       Item* item = tree.next(now);
       if (!item) {
@@ -354,7 +386,8 @@
   CHECK_EQ(tree.victim(1.4).item, &items[1]);
   CHECK_EQ(tree.victim(1.5).item, &items[0]);
   CHECK_FALSE(tree.victim(1.58).item);  // each once
-  for (size_t i = 0; i < 3; ++i) tree.ended(items[i], 0, 2), tree.forget(items[i], 2);
+  for (size_t i = 0; i < 3; ++i)
+    tree.ended(items[i], 0, 2), tree.forget(items[i], 2);
   tree.forget(items[3], 2);
 }
 
@@ -366,8 +399,10 @@
   int yielded = 0;
   for (; now < 1; now += 0.01) {
     Item* item = stage.tree.next(now);
-    if (item == &borrows) break;
-    if (item == &sure) stage.tree.lost(sure, 0.1, now), ++yielded;
+    if (item == &borrows)
+      break;
+    if (item == &sure)
+      stage.tree.lost(sure, 0.1, now), ++yielded;
   }
   CHECK_GE(yielded, 3);
   CHECK_GE(now, 0.3);  // yieldS
@@ -399,7 +434,8 @@
       waits.at(now);
       told.estimate = waits.arrives(*item, now);
       tree.hold(*item, false, now);
-      if (now > 60 && seenAt < 0 && told.estimate.half > 1.5 * 30 * 0.275 / 3) seenAt = now - 60;
+      if (now > 60 && seenAt < 0 && told.estimate.half > 1.5 * 30 * 0.275 / 3)
+        seenAt = now - 60;
       comes = now + gap * chance.between(0.5, 1.5);
     } else {
       now = std::max(free, now);
@@ -412,7 +448,8 @@
       tree.unhold(*item, now);
       waits.started(*item, now);
       for (auto& [held, told] : all)
-        if (held.get() == item) told.wait = now - told.at;
+        if (held.get() == item)
+          told.wait = now - told.at;
       tree.started(*item, now), free = now + item->work / speed;
       tree.ended(*item, 0, now);
     }
@@ -420,7 +457,8 @@
   auto share = [&](double from, double to, auto told) {
     double hits = 0, count = 0;
     for (auto& [item, one] : all)
-      if (one.wait > 0.02 && one.at >= from && one.at < to) ++count, hits += one.wait <= told(one.estimate);
+      if (one.wait > 0.02 && one.at >= from && one.at < to)
+        ++count, hits += one.wait <= told(one.estimate);
     CHECK_GT(count, 30);
     return hits / count;
   };
@@ -431,7 +469,8 @@
   CHECK_GE(share(60, 110, nine), 0.85);
   CHECK_GE(seenAt, 0);
   CHECK_LE(seenAt, 3);
-  for (auto& [item, told] : all) tree.forget(*item, now);
+  for (auto& [item, told] : all)
+    tree.forget(*item, now);
 }
 
 // --- the module with budgets
@@ -449,7 +488,8 @@
 
 Settings patient() {
   auto site = Scene::site();
-  for (auto& profile : site.profiles) profile.target = 60, profile.clientTimeout = 100;
+  for (auto& profile : site.profiles)
+    profile.target = 60, profile.clientTimeout = 100;
   return site;
 }
 
@@ -461,11 +501,14 @@
   for (bool budgets : {false, true}) {
     auto site = patient();
     site.tenants = {{"north", 0.1, 0}, {"south", 0.1, 0}};
-    for (int i = 0; i < 8; ++i) site.tenants.push_back({"s" + std::to_string(i), 0.1, 0});
+    for (int i = 0; i < 8; ++i)
+      site.tenants.push_back({"s" + std::to_string(i), 0.1, 0});
     Plan plan = planOf({entry("north", 4)});
     std::unique_ptr<Scene> scene;
-    if (budgets) scene = std::make_unique<BudgetScene>(site, plan);
-    else scene = std::make_unique<Scene>(site);
+    if (budgets)
+      scene = std::make_unique<BudgetScene>(site, plan);
+    else
+      scene = std::make_unique<Scene>(site);
     scene->nodes({1});
     auto press = [&] {
       scene->take("waits", "quick", 0.1, "south");
@@ -479,10 +522,13 @@
     std::deque<std::string> running;
     for (int step = 0; step < 60;
          ++step) {  // a second: five of north come, ten end, 4 of those 5 cores are north's
-      if (step % 2) scene->take("n" + std::to_string(step), "quick", 0.5, "north");
+      if (step % 2)
+        scene->take("n" + std::to_string(step), "quick", 0.5, "north");
       scene->to(scene->now + 0.1);
-      for (auto& [name, node] : std::exchange(scene->at, {})) running.push_back(name);
-      if (running.empty()) continue;
+      for (auto& [name, node] : std::exchange(scene->at, {}))
+        running.push_back(name);
+      if (running.empty())
+        continue;
       std::string name = running.front();
       running.pop_front();
       work[budgets][name.substr(0, 1)] += 0.5;
@@ -506,14 +552,16 @@
   scene.nodes({1});
   scene.take("waits", "quick", 0.1, "south");
   scene.commands["waits"]->note(Topic::waits, 1);
-  for (int i = 0; i < 300; ++i) scene.take("s" + std::to_string(i), "quick", 0.2, "south");
+  for (int i = 0; i < 300; ++i)
+    scene.take("s" + std::to_string(i), "quick", 0.2, "south");
   for (int i = 0; i < 4; ++i)
     scene.take("n" + std::to_string(i), "dear", 2, "north");  // worth less for its work
   scene.to(100.4);
   std::string told = scene.trace.str();
   auto count = [&](const std::string& what) {
     size_t seen = 0;
-    for (size_t at = told.find(what); at != std::string::npos; at = told.find(what, at + 1)) ++seen;
+    for (size_t at = told.find(what); at != std::string::npos; at = told.find(what, at + 1))
+      ++seen;
     return seen;
   };
   CHECK_GT(count("shed s"), 20);
@@ -530,10 +578,12 @@
     plan.preempt = how, plan.preemptAfter = 0.1;
     BudgetScene scene(site, plan);
     scene.nodes({1});
-    for (int i = 0; i < 40; ++i) scene.take("s" + std::to_string(i), i == 39 ? "load" : "quick", 2, "south");
+    for (int i = 0; i < 40; ++i)
+      scene.take("s" + std::to_string(i), i == 39 ? "load" : "quick", 2, "south");
     scene.take("waits", "quick", 0.1, "south");
     scene.commands["waits"]->note(Topic::waits, 1);
-    for (int i = 0; i < 5; ++i) scene.take("n" + std::to_string(i), "quick", 2, "north");
+    for (int i = 0; i < 5; ++i)
+      scene.take("n" + std::to_string(i), "quick", 2, "north");
     scene.trace.str("");
     for (double until = 100.1; until < 101; until += 0.05) {
       scene.commands["waits"]->note(Topic::waits, 1);
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -28,7 +28,8 @@
   void send(Command& command, uint32_t node, double, double) override {
     double work = works.at(&command);
     ends.push({now + (node == kCold ? 2.5 : 1) * work, &command});
-    if (node == kCold) landed.push_back({now, work});
+    if (node == kCold)
+      landed.push_back({now, work});
   }
   void shed(Command& command, double) override { works.erase(&command); }
   void fail(Command& command) override { works.erase(&command); }
@@ -88,7 +89,8 @@
         std::vector<NodeRow> rows;
         for (uint32_t id = time < 103 ? 2 : 1; id <= (time < 103 ? 6 : 2); ++id)
           rows.push_back({id, "a", "eight", 0, NodeState::inService, {}});
-        if (time >= 103) rows.front().startedAt = 103;  // in each one's own clock, as the list tells it
+        if (time >= 103)
+          rows.front().startedAt = 103;  // in each one's own clock, as the list tells it
         members[i]->gateway->list(ListKind::full, rows);
       }
       members[i]->step(time, rate * part[i] / parts * 0.01, chance);
@@ -96,10 +98,12 @@
   double allowed = set.fallMultiple * set.coldFrom * 8 * set.fallTime / kMean, window = 0, worst = 0;
   sum = 0;
   std::deque<Landed> in;
-  for (auto& one : landed) {                     // in the order of time, which is the fleet's
-    if (one.at > 103 + set.coldTime / 2) break;  // by then what is allowed has grown
+  for (auto& one : landed) {  // in the order of time, which is the fleet's
+    if (one.at > 103 + set.coldTime / 2)
+      break;  // by then what is allowed has grown
     in.push_back(one), window += one.work / kMean, sum += one.work;
-    for (; in.front().at <= one.at - set.fallTime; in.pop_front()) window -= in.front().work / kMean;
+    for (; in.front().at <= one.at - set.fallTime; in.pop_front())
+      window -= in.front().work / kMean;
     worst = std::max(worst, window);
   }
   return worst / (allowed + 2 * std::sqrt(allowed) + 2);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -38,7 +38,9 @@
   std::vector<std::string> lines;
   try {
     readGateway(document, "f.json");
-  } catch (const Faults& faults) { lines = faults.lines; }
+  } catch (const Faults& faults) {
+    lines = faults.lines;
+  }
   auto told = [&](const char* start) {
     return std::ranges::count_if(lines, [&](auto& line) { return line.starts_with(start); });
   };
--- a/tests/fleet/members_test.cpp
+++ b/tests/fleet/members_test.cpp
@@ -19,12 +19,14 @@
       services.back()->gateway = Json{{"members", relay.section(i)}}.dump();
       start(i);
     }
-    for (auto& service : services) service->ready();
+    for (auto& service : services)
+      service->ready();
   }
   static Plan planOf(int count) {
     Plan plan;
     plan.fleet = "test";
-    for (int i = 0; i < count; ++i) plan.peers.push_back({"n" + std::to_string(i), {}});
+    for (int i = 0; i < count; ++i)
+      plan.peers.push_back({"n" + std::to_string(i), {}});
     return plan;
   }
   void start(int member) {
@@ -36,13 +38,17 @@
   Claim held(int who, int whom) {
     Claim most;
     for (auto& [time, from, to, delivered, bytes] : relay.passed()) {
-      if (time < starts[size_t(who)] || (from != who && (to != who || !delivered))) continue;
+      if (time < starts[size_t(who)] || (from != who && (to != who || !delivered)))
+        continue;
       auto read = wire.read(bytes);
       auto* message = std::get_if<Message>(&read);
-      if (!message) continue;
-      if (from == whom) most = joined(most, {message->instance, message->incarnation, State::alive});
+      if (!message)
+        continue;
+      if (from == whom)
+        most = joined(most, {message->instance, message->incarnation, State::alive});
       for (auto& row : message->rows)
-        if (row.member == whom) most = joined(most, row.claim);
+        if (row.member == whom)
+          most = joined(most, row.claim);
     }
     return most;
   }
@@ -51,8 +57,10 @@
     for (double end = now() + kAgree; now() < end; pause(0.1)) {
       bool all = true;
       for (int a : who)
-        for (int b : whom) all = all && (a == b || held(a, b).there() == there);
-      if (all) return true;
+        for (int b : whom)
+          all = all && (a == b || held(a, b).there() == there);
+      if (all)
+        return true;
     }
     return false;
   }
@@ -63,12 +71,15 @@
     for (auto& [time, from, to, delivered, bytes] : relay.passed()) {
       auto read = wire.read(bytes);
       auto* message = std::get_if<Message>(&read);
-      if (!message) continue;
+      if (!message)
+        continue;
       for (auto& row : message->rows) {
-        if (to == who && delivered) heard[row.member] = joined(heard[row.member], row.claim);
+        if (to == who && delivered)
+          heard[row.member] = joined(heard[row.member], row.claim);
         bool news = from == who && row.claim.state == State::down && row.claim > heard[row.member];
         times += news && std::ranges::find(whom, row.member) != whom.end();
-        if (from == who) heard[row.member] = joined(heard[row.member], row.claim);
+        if (from == who)
+          heard[row.member] = joined(heard[row.member], row.claim);
       }
     }
     return times;
@@ -96,11 +107,13 @@
   REQUIRE(team.holds(kAll, kAll, true));
   team.at(2).kill(SIGKILL);
   CHECK_EQ(team.at(2).status(), 1000 + SIGKILL);
-  for (int i : {0, 1, 3, 4}) team.serves(i);
+  for (int i : {0, 1, 3, 4})
+    team.serves(i);
   CHECK(team.holds({0, 1, 3, 4}, {2}, false));
   team.start(2), team.at(2).ready();
   CHECK(team.holds(kAll, kAll, true));
-  for (int i : kAll) team.serves(i);
+  for (int i : kAll)
+    team.serves(i);
 }
 
 TEST_CASE(
@@ -117,7 +130,8 @@
     team.start(i), team.at(i).ready();
     CHECK(team.holds({0, 1, 2, 3}, {0, 1, 2, 3}, true));
   }
-  for (int i = 0; i < 4; ++i) CHECK_EQ(team.calledDown(i, {0, 1, 2, 3}), 0);
+  for (int i = 0; i < 4; ++i)
+    CHECK_EQ(team.calledDown(i, {0, 1, 2, 3}), 0);
 }
 
 TEST_CASE(
@@ -127,7 +141,8 @@
   team.relay.part({3, 4}, true);
   CHECK(team.holds({0, 1, 2}, {3, 4}, false));
   CHECK(team.holds({3, 4}, {0, 1, 2}, false));
-  for (int i : kAll) team.serves(i);
+  for (int i : kAll)
+    team.serves(i);
   team.relay.part({3, 4}, false);
   CHECK(team.holds(kAll, kAll, true));
   team.relay.set(0, 1, {.cut = true});  // one way, between two: the others speak for them
--- a/tests/fleet/relay.h
+++ b/tests/fleet/relay.h
@@ -28,10 +28,12 @@
 class Relay {
  public:
   explicit Relay(int count) : count_(count), real_(size_t(count)), bad_(size_t(count * count)) {
-    for (auto& address : real_) address = free();
+    for (auto& address : real_)
+      address = free();
     for (int a = 0; a < count; ++a)
       for (int b = 0; b < count; ++b)
-        if (a != b) ends_[{a, b}] = std::make_unique<End>();
+        if (a != b)
+          ends_[{a, b}] = std::make_unique<End>();
     thread_ = std::thread([this] { run(); });
   }
   ~Relay() {
@@ -54,13 +56,15 @@
   }
   void all(Bad bad) {
     for (int a = 0; a < count_; ++a)
-      for (int b = 0; b < count_; ++b) set(a, b, bad);
+      for (int b = 0; b < count_; ++b)
+        set(a, b, bad);
   }
   void part(const std::vector<int>& apart, bool is) {
     auto inside = [&](int one) { return std::ranges::find(apart, one) != apart.end(); };
     for (int a = 0; a < count_; ++a)
       for (int b = 0; b < count_; ++b)
-        if (inside(a) != inside(b)) set(a, b, {.cut = is});
+        if (inside(a) != inside(b))
+          set(a, b, {.cut = is});
   }
   std::vector<Passed> passed() {
     std::lock_guard lock(mutex_);
@@ -102,8 +106,10 @@
       }
       poll(ready.data(), ready.size(), 2);
       for (size_t i = 0; i < pairs.size(); ++i) {
-        if (ready[2 * i].revents) datagram(pairs[i].first, pairs[i].second);
-        if (ready[2 * i + 1].revents) stream(pairs[i].first, pairs[i].second);
+        if (ready[2 * i].revents)
+          datagram(pairs[i].first, pairs[i].second);
+        if (ready[2 * i + 1].revents)
+          stream(pairs[i].first, pairs[i].second);
       }
       double time = now();
       while (!due_.empty() && due_.begin()->first <= time) {
@@ -123,7 +129,8 @@
       Bad bad = bad_[size_t(from * count_ + to)];
       bool lost = bad.cut || part() < bad.loss;
       record_.push_back({now(), from, to, !lost, text});
-      if (lost) continue;
+      if (lost)
+        continue;
       if (part() < bad.damage)
         text[size_t(part() * double(text.size()))] ^= char(1 << int(part() * 8)),
             record_.back().delivered = false;
@@ -139,11 +146,13 @@
     auto in = ends_[{from, to}]->listener.accept();
     {
       std::lock_guard lock(mutex_);
-      if (bad_[size_t(from * count_ + to)].cut) return in->reset();
+      if (bad_[size_t(from * count_ + to)].cut)
+        return in->reset();
     }
     std::string head = in->bytes(4);
     size_t length = 0;
-    for (char c : head) length = length << 8 | static_cast<unsigned char>(c);
+    for (char c : head)
+      length = length << 8 | static_cast<unsigned char>(c);
     std::string body = in->bytes(length);
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in source = ends_[{to, from}]->address, target = real_[size_t(to)];
