--- a/tests/fleet/shared_test.cpp
+++ b/tests/fleet/shared_test.cpp
@@ -16,14 +16,17 @@
           for (int id = number * 1'000'000; !over_;) {
             std::vector<pollfd> ready;
             for (auto& client : clients) {
-              if (!client && (client = Peer::to(service.listen))) client->write(post(++id, "quick", 3000));
+              if (!client && (client = Peer::to(service.listen)))
+                client->write(post(++id, "quick", 3000));
               ready.push_back({client ? client->fd() : -1, POLLIN, 0});
             }
             poll(ready.data(), ready.size(), 20);
             for (size_t i = 0; i < clients.size(); ++i) {
-              if (!ready[i].revents || !clients[i]) continue;
+              if (!ready[i].revents || !clients[i])
+                continue;
               std::string got = clients[i]->more() ? answer(*clients[i]) : "none";
-              if (got == "none") clients[i].reset();  // it was stopped or killed
+              if (got == "none")
+                clients[i].reset();  // it was stopped or killed
               else {
                 std::string next = post(++id, "quick", 3000);
                 (void)!send(clients[i]->fd(), next.data(), next.size(), MSG_NOSIGNAL);
@@ -60,11 +63,13 @@
       config["known"]["results"][0]["fleet"]["hosts"] = hosts;
       Json own{{"members", relay.section(i)},
                {"budgets", {{"nodes", {{{"name", "acme"}, {"ceiling", {{"cores", 6}}}, {"burstS", 0.5}}}}}}};
-      if (sharing) own["shared"] = Json::object();
+      if (sharing)
+        own["shared"] = Json::object();
       services.back()->gateway = own.dump();
       services.back()->start();
     }
-    for (auto& service : services) service->ready();
+    for (auto& service : services)
+      service->ready();
     pause(4);  // they have found each other, and whatever an earlier life could have lent is over
   }
   int started(double from, double to, int process = -1) {
@@ -78,7 +83,8 @@
     auto record = crowd.record();
     int most = 0;
     for (size_t first = 0, last = 0; last < record.size(); ++last) {
-      while (record[last].at - record[first].at > 1) ++first;
+      while (record[last].at - record[first].at > 1)
+        ++first;
       most = std::max(most, int(last - first + 1));
     }
     return most;
@@ -111,7 +117,8 @@
   {
     Pump one(*fleet.services[0], 1), two(*fleet.services[1], 2), three(*fleet.services[2], 3);
     pause(4);  // all want theirs back
-    for (int i = 0; i < 3; ++i) CHECK_GT(fleet.started(now() - 1, now(), i), 0.15 * kCommands);
+    for (int i = 0; i < 3; ++i)
+      CHECK_GT(fleet.started(now() - 1, now(), i), 0.15 * kCommands);
     fleet.services[0]->kill(SIGSTOP);  // with loans, and past their end
     pause(4);
     fleet.services[0]->kill(SIGCONT);
--- a/tests/fleet/view_fleet.h
+++ b/tests/fleet/view_fleet.h
@@ -26,7 +26,8 @@
   void silent(bool is) {
     std::lock_guard lock(mutex_);
     silent_ = is;
-    for (auto& one : followers_) one.mute = one.mute || is;
+    for (auto& one : followers_)
+      one.mute = one.mute || is;
   }
   bool given() {  // up by all who were told nothing
     std::lock_guard lock(mutex_);
@@ -50,7 +51,8 @@
   void run() {
     while (!over_) {
       std::vector<pollfd> ready{{silent_ ? -1 : listener.fd(), POLLIN, 0}};
-      for (auto& one : followers_) ready.push_back({one.peer->fd(), POLLIN, 0});
+      for (auto& one : followers_)
+        ready.push_back({one.peer->fd(), POLLIN, 0});
       poll(ready.data(), ready.size(), 5);
       std::lock_guard lock(mutex_);
       size_t i = 1;
@@ -59,20 +61,27 @@
           one = followers_.erase(one);
           continue;
         }
-        if (!one->mute) write(*one);
+        if (!one->mute)
+          write(*one);
         ++one;
       }
-      if (ready[0].revents && !silent_) followers_.push_back({listener.accept()});
+      if (ready[0].revents && !silent_)
+        followers_.push_back({listener.accept()});
     }
   }
   void write(Follower& one) {
     if (one.wrote < 0) {
-      if (one.peer->in.size() < 8) return;
-      for (char c : one.peer->bytes(8)) one.known = one.known << 8 | static_cast<unsigned char>(c);
-    } else if (one.known == last && now() < one.wrote + 0.5) return;
+      if (one.peer->in.size() < 8)
+        return;
+      for (char c : one.peer->bytes(8))
+        one.known = one.known << 8 | static_cast<unsigned char>(c);
+    } else if (one.known == last && now() < one.wrote + 0.5)
+      return;
     std::string bytes;
-    for (; one.known < last; ++one.known) bytes += frames_[one.known - 1];
-    if (bytes.empty()) bytes = frame(last, 0);
+    for (; one.known < last; ++one.known)
+      bytes += frames_[one.known - 1];
+    if (bytes.empty())
+      bytes = frame(last, 0);
     (void)!send(one.peer->fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL);  // it may have gone meanwhile
     one.wrote = now();
   }
@@ -92,7 +101,8 @@
   ~Load() { stop(); }
   void stop() {  // nothing new; what is in hand gets its answer
     over_ = true;
-    if (thread_.joinable()) thread_.join();
+    if (thread_.joinable())
+      thread_.join();
   }
   int asked = 0, twice = 0;         // to be read once stopped; bytes that nobody asked for
   std::map<std::string, int> told;  // by status; "none": no answer
@@ -108,21 +118,26 @@
     std::vector<One> all(clients);
     auto asks = [](auto& one) { return one.out; };
     for (double end = HUGE_VAL; now() < end && (!over_ || std::ranges::any_of(all, asks));) {
-      if (over_) end = std::min(end, now() + kWait / 1e3);
+      if (over_)
+        end = std::min(end, now() + kWait / 1e3);
       std::vector<pollfd> ready;
       for (auto& one : all) {
-        if (!one.peer) one.peer = Peer::to(service.listen);
-        if (one.peer && !over_ && !one.out && now() >= one.next) ask(*one.peer, number), one.out = true;
+        if (!one.peer)
+          one.peer = Peer::to(service.listen);
+        if (one.peer && !over_ && !one.out && now() >= one.next)
+          ask(*one.peer, number), one.out = true;
         ready.push_back({one.out ? one.peer->fd() : -1, POLLIN, 0});
       }
       poll(ready.data(), ready.size(), 3);
       for (size_t i = 0; i < clients; ++i) {
         One& one = all[i];
-        if (!ready[i].revents) continue;
+        if (!ready[i].revents)
+          continue;
         std::string got = one.peer->more() ? answer(*one.peer).substr(0, 3) : "none";
         ++told[got], one.out = false, one.next = now() + 0.02, twice += !one.peer->in.empty();
         served += got == "200";
-        if (got == "none" || got == "non") one.peer.reset();  // it has died
+        if (got == "none" || got == "non")
+          one.peer.reset();  // it has died
       }
     }
     told["none"] += int(std::ranges::count_if(all, asks));
@@ -146,7 +161,8 @@
   // A process each ordinal, of `dispatchers` that there are by the settings.
   Fleet(int dispatchers, const std::vector<int>& ordinals, uint32_t engines, Json view)
       : all(dispatchers), ordinal(ordinals), none(0) {
-    for (uint32_t id = 1; id <= engines; ++id) listed.insert(id);
+    for (uint32_t id = 1; id <= engines; ++id)
+      listed.insert(id);
     for (size_t i = 0; i < ordinals.size(); ++i) {
       auto& service = services.emplace_back(std::make_unique<Service>(none, 0, 300));
       Json& settings = service->config["settings"];
@@ -171,7 +187,8 @@
       service->gateway = Json{{"view", view}}.dump();
       service->start();
     }
-    for (auto& service : services) service->ready();
+    for (auto& service : services)
+      service->ready();
   }
   static int zoneOf(uint32_t id) { return id % 4 == 0 ? 1 : id % 4 == 1 ? 2 : 0; }
   sockaddr_in addressOf(uint32_t id) const {
@@ -183,7 +200,8 @@
   // As the list has them; the whole of it if no engines are named.
   std::string records(const std::set<uint32_t>& engines, int state = 0, uint64_t bornMs = 0) const {
     std::string bytes;
-    for (uint32_t id : engines) bytes += record(id, state, addressOf(id), zoneOf(id), bornMs);
+    for (uint32_t id : engines)
+      bytes += record(id, state, addressOf(id), zoneOf(id), bornMs);
     return bytes;
   }
   int place(size_t process, uint32_t engine) const {
@@ -197,7 +215,8 @@
   std::vector<Sent> sends(double from = 0) {
     std::vector<Sent> found;
     for (auto& [at, id, engine] : crowd.record())
-      if (at >= from) found.push_back({at, std::stoull(id, nullptr, 16) / 1'000'000 - 1, engine - kFirst});
+      if (at >= from)
+        found.push_back({at, std::stoull(id, nullptr, 16) / 1'000'000 - 1, engine - kFirst});
     return found;
   }
   // The greatest place with which a process sent to an engine since then, or -1; -1: any process.
@@ -210,7 +229,8 @@
   }
   std::map<uint32_t, std::set<size_t>> users() {
     std::map<uint32_t, std::set<size_t>> found;
-    for (auto& sent : sends()) found[sent.engine].insert(sent.process);
+    for (auto& sent : sends())
+      found[sent.engine].insert(sent.process);
     return found;
   }
   void load(size_t clients = 8) {
@@ -218,7 +238,8 @@
       loads.push_back(std::make_unique<Load>(*services[i], int(i), clients));
   }
   void answered() {  // ends the load: each command has had one answer, served or shed
-    for (auto& one : loads) one->stop();
+    for (auto& one : loads)
+      one->stop();
     for (auto& one : loads) {
       CHECK_GT(one->told["200"], 0);
       CHECK_EQ(one->told["200"] + one->told["503"], one->asked);
@@ -229,7 +250,8 @@
   // Before long; a span of time that no machine needs.
   static bool soon(const std::function<bool()>& is, double span = 30) {
     for (double end = now() + span; now() < end; pause(0.01))
-      if (is()) return true;
+      if (is())
+        return true;
     return false;
   }
   bool allTold() {
--- a/tests/fleet/view_test.cpp
+++ b/tests/fleet/view_test.cpp
@@ -14,7 +14,8 @@
 }
 size_t countOf(const std::string& text, const std::string& part) {
   size_t count = 0;
-  for (size_t at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) ++count;
+  for (size_t at = text.find(part); at != std::string::npos; at = text.find(part, at + 1))
+    ++count;
   return count;
 }
 std::set<uint32_t> zone(const Fleet& fleet, int which) {
@@ -39,9 +40,11 @@
   CHECK(fleet.allTold());
   for (int which : {1, 2}) {  // by a whole list without it, and engine by engine
     auto lost = zone(fleet, which), rest = fleet.listed;
-    for (uint32_t id : lost) rest.erase(id);
+    for (uint32_t id : lost)
+      rest.erase(id);
     std::set<uint32_t> at;
-    for (uint32_t id : lost) at.insert(kFirst + id);
+    for (uint32_t id : lost)
+      at.insert(kFirst + id);
     fleet.crowd.set(Crowd::Way::late, at);
     fleet.load();
     auto inHand = [&] {
@@ -51,21 +54,24 @@
     CHECK(Fleet::soon(inHand));
     which == 1 ? fleet.log.tell(true, fleet.records(rest)) : fleet.log.tell(false, fleet.records(lost, 2));
     std::string mark = ", event " + std::to_string(fleet.log.last) + ":";
-    for (auto& service : fleet.services) CHECK(service->logs(mark));
+    for (auto& service : fleet.services)
+      CHECK(service->logs(mark));
     double told = now();
     auto closed = [&] {
       return std::ranges::all_of(at, [&](auto one) { return fleet.crowd.open(one) == 0; });
     };
     CHECK(Fleet::soon(closed));
     pause(2 * kGrace);
-    for (auto& sent : fleet.sends(told + kGrace)) CHECK_FALSE(lost.contains(sent.engine));
+    for (auto& sent : fleet.sends(told + kGrace))
+      CHECK_FALSE(lost.contains(sent.engine));
 
     fleet.crowd.set(Crowd::Way::answers, at);
     double back = now();
     fleet.log.tell(false, fleet.records(lost, 0, unixMs()));
     auto warming = [&] {
       std::set<uint32_t> used;
-      for (auto& sent : fleet.sends(back)) used.insert(sent.engine);
+      for (auto& sent : fleet.sends(back))
+        used.insert(sent.engine);
       return std::ranges::count_if(lost, [&](auto id) { return used.contains(id); }) >= 50;
     };
     CHECK(Fleet::soon(warming, kColdTime));  // 50 of 60
@@ -73,7 +79,8 @@
     bool wide = false;
     for (auto& sent : fleet.sends(back)) {
       int place = fleet.place(sent.process, sent.engine);
-      if (sent.at < back + kColdTime - 0.1 && lost.contains(sent.engine)) CHECK_LT(place, 3);
+      if (sent.at < back + kColdTime - 0.1 && lost.contains(sent.engine))
+        CHECK_LT(place, 3);
       wide = wide || place >= 3;
     }
     CHECK(wide);
@@ -93,7 +100,8 @@
     fleet.log.silent(true);
     CHECK(Fleet::soon([&] { return fleet.log.given(); }));
     auto listed = fleet.listed;
-    if (gone) std::erase_if(listed, [](uint32_t id) { return id % 8 == 0; });
+    if (gone)
+      std::erase_if(listed, [](uint32_t id) { return id % 8 == 0; });
     fleet.log.tell(true, fleet.records(listed));
     fleet.log.silent(false);
     for (auto& service : fleet.services)
@@ -102,15 +110,18 @@
     CHECK(fleet.allTold());
     for (size_t i = 0; i < 4; ++i) {
       auto& service = *fleet.services[i];
-      if (gone) CHECK(service.logs("engines change by whole list, event 3"));
+      if (gone)
+        CHECK(service.logs("engines change by whole list, event 3"));
       CHECK_EQ(fleet.viewLines(i), 1 + gone);
       CHECK_EQ(service.log().find("no-engine"), std::string::npos);
     }
-    if (!gone) CHECK_EQ(fleet.crowd.made(), before);
+    if (!gone)
+      CHECK_EQ(fleet.crowd.made(), before);
   }
   auto left = [&] {
     for (uint32_t id = 8; id <= 240; id += 8)
-      if (fleet.crowd.open(kFirst + id) > 0) return false;
+      if (fleet.crowd.open(kFirst + id) > 0)
+        return false;
     return true;
   };
   CHECK(Fleet::soon(left));
@@ -119,7 +130,8 @@
   fleet.load();
   CHECK(Fleet::soon([&] { return fleet.sends(from).size() > 1000; }));
   fleet.answered();
-  for (auto& sent : fleet.sends(from)) CHECK_NE(sent.engine % 8, 0);
+  for (auto& sent : fleet.sends(from))
+    CHECK_NE(sent.engine % 8, 0);
   CHECK_EQ(fleet.farthest(), 2);
   for (size_t i = 0; i < 4; ++i) {  // what is out of view is named nowhere
     auto text = fleet.services[i]->log();
@@ -135,19 +147,22 @@
   Fleet fleet(8, {1, 2, 4, 7}, 240, planOf());
   fleet.load();
   std::set<uint32_t> more;
-  for (uint32_t id = 241; id <= 280; ++id) more.insert(id);
+  for (uint32_t id = 241; id <= 280; ++id)
+    more.insert(id);
   fleet.log.tell(false, fleet.records(more));
   CHECK(fleet.allTold());
   auto view = [&](uint32_t last) {  // of the process with ordinal 1
     std::set<uint32_t> found;
     for (uint32_t id = 1; id <= last; ++id)
-      if (fleet.place(0, id) < 3) found.insert(id);
+      if (fleet.place(0, id) < 3)
+        found.insert(id);
     return found;
   };
   auto used = [&](double from) {
     std::set<uint32_t> found;
     for (auto& sent : fleet.sends(from))
-      if (sent.process == 0) found.insert(sent.engine);
+      if (sent.process == 0)
+        found.insert(sent.engine);
     return found;
   };
   CHECK(Fleet::soon([&] { return used(0) == view(280); }));
@@ -163,7 +178,8 @@
   CHECK(Fleet::soon([&] { return used(from) == view(280); }));
   fleet.answered();
   CHECK_EQ(fleet.farthest(), 2);
-  for (size_t i = 1; i < 4; ++i) CHECK_EQ(fleet.viewLines(i), 2);  // its start, and the forty
+  for (size_t i = 1; i < 4; ++i)
+    CHECK_EQ(fleet.viewLines(i), 2);  // its start, and the forty
 }
 
 TEST_CASE("two processes with one ordinal: an engine has one user more at most, all commands are answered") {
@@ -174,7 +190,8 @@
   pause(1);
   fleet.answered();
   CHECK_EQ(fleet.farthest(), 2);
-  for (auto& [engine, users] : fleet.users()) CHECK_LE(users.size(), 3 + users.contains(5));
+  for (auto& [engine, users] : fleet.users())
+    CHECK_LE(users.size(), 3 + users.contains(5));
 }
 
 TEST_CASE(
@@ -183,7 +200,8 @@
   std::set<uint32_t> hang, refuse;  // two thirds of what the first uses
   int mine = 0;
   for (uint32_t id : fleet.listed)
-    if (fleet.place(0, id) < 3 && ++mine % 3 > 0) (mine % 3 == 1 ? hang : refuse).insert(kFirst + id);
+    if (fleet.place(0, id) < 3 && ++mine % 3 > 0)
+      (mine % 3 == 1 ? hang : refuse).insert(kFirst + id);
   fleet.crowd.set(Crowd::Way::hangs, hang), fleet.crowd.set(Crowd::Way::refuses, refuse);
   Load load(*fleet.services[0], 0, 24);
   auto& service = *fleet.services[0];
@@ -207,7 +225,8 @@
   CHECK_LT(fleet.farthest(), 6);
   CHECK_EQ(load.told["none"], 0);
   CHECK_EQ(load.told["200"] + load.told["503"] + load.told["500"], load.asked);
-  for (size_t i : {1, 2}) CHECK_EQ(fleet.viewLines(i), 1);  // whom nobody asks finds nothing unfit
+  for (size_t i : {1, 2})
+    CHECK_EQ(fleet.viewLines(i), 1);  // whom nobody asks finds nothing unfit
 }
 
 TEST_CASE("all engines within the bound start: the view goes no farther") {
@@ -288,10 +307,12 @@
   Service service(engines, 2);
   auto id = [](int place) {  // the first engine where the dispatcher 0 of two stands there
     for (uint32_t one = 1;; ++one)
-      if (elmcleat::view::placeOf(one, 0, 2, 2) == place) return one;
+      if (elmcleat::view::placeOf(one, 0, 2, 2) == place)
+        return one;
   };
   auto& hosts = service.config["known"]["results"][0]["fleet"]["hosts"];
-  for (int i : {0, 1}) hosts[size_t(i)]["host"] = "s-0000000" + std::to_string(id(i));
+  for (int i : {0, 1})
+    hosts[size_t(i)]["host"] = "s-0000000" + std::to_string(id(i));
   service.config["settings"]["balancers"] = 2, service.config["settings"]["ordinal"] = 0;
   service.config["settings"]["specifics"]["progressPaceUs"] = 8000000;  // these stand-ins write no notes
   service.gateway = R"({"view": {"users": 1, "mostUsers": 2, "least": 1, "narrowAfterS": 1}})";
--- a/tests/fuzz/members_fuzz.cpp
+++ b/tests/fuzz/members_fuzz.cpp
@@ -20,12 +20,14 @@
 std::string sealed(const std::string& body) {
   uint64_t sum = checksum(body);
   std::string bytes;
-  for (size_t i = 0; i < 8; ++i) bytes += char(sum >> (8 * i) & 0xff);
+  for (size_t i = 0; i < 8; ++i)
+    bytes += char(sum >> (8 * i) & 0xff);
   return bytes + body;
 }
 
 void must(bool holds, const char* what) {
-  if (holds) return;
+  if (holds)
+    return;
   std::cerr << "broken: " << what << std::endl;
   std::abort();
 }
@@ -36,7 +38,8 @@
   static const Plan plan = lab::Gossip::plan(8);
   static const Wire wire(plan);
   std::string in(reinterpret_cast<const char*>(data), size);
-  if (in.size() < 3) return 0;
+  if (in.size() < 3)
+    return 0;
   double now = 0, step = static_cast<unsigned char>(in[0]) / 32.0;
   Core core(plan, 0, {5, 1}, 1, now);
   shared::LoanTerms terms;
@@ -51,13 +54,15 @@
     auto read = wire.read(bytes);
     if (auto* message = std::get_if<Message>(&read)) {
       must(message->from >= 0 && message->to >= 0, "a message without its two ends was passed on");
-      for (auto& row : message->rows) must(row.member >= 0 && row.member < 8, "a row names nobody");
+      for (auto& row : message->rows)
+        must(row.member >= 0 && row.member < 8, "a row names nobody");
       must(std::holds_alternative<Message>(wire.read(wire.write(*message))),
            "what was read can't be written and read");
       core.hear(now, *message);
     }
     core.tick(now);
-    for (auto& message : core.out()) must(wire.write(message).size() <= kMostBytes, "too large a message");
+    for (auto& message : core.out())
+      must(wire.write(message).size() <= kMostBytes, "too large a message");
     const Claim& own = core.claimOf(0);
     must(core.aside() || own.state == State::alive, "it was talked into its own end");
     must(core.life().incarnation < (uint64_t{1} << 62) + 1000, "numbers ran away");
@@ -77,7 +82,8 @@
   for (int i = 1; i < count; ++i) {
     std::ifstream file(files[i], std::ios::binary);
     std::string bytes{std::istreambuf_iterator<char>(file), {}};
-    if (bytes.empty()) return std::cerr << files[i] << ": nothing to read\n", 1;
+    if (bytes.empty())
+      return std::cerr << files[i] << ": nothing to read\n", 1;
     LLVMFuzzerTestOneInput(reinterpret_cast<const uint8_t*>(bytes.data()), bytes.size());
   }
   std::cout << count - 1 << " files played\n";
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -41,7 +41,8 @@
   Engine engine(fleet);
   engine.begin(0, {1, 2, 2, 0, 1, 1, 0}, 1);
   CHECK_EQ(*engine.nextEnd(), doctest::Approx(2));  // alone, on its one thread
-  for (uint64_t i = 2; i <= 8; ++i) engine.begin(0, {i, 2, 2, 0, 1, 1, 0}, i);
+  for (uint64_t i = 2; i <= 8; ++i)
+    engine.begin(0, {i, 2, 2, 0, 1, 1, 0}, i);
   CHECK_EQ(*engine.nextEnd(), doctest::Approx(4));  // eight on four cores
   engine.rank(0, 1, 3);
   CHECK_EQ(*engine.nextEnd(), doctest::Approx(2));  // a core of its own again
@@ -146,14 +147,16 @@
     Record record = play(scene, 1, variantNamed(""));
     CHECK_EQ(brokenRules(scene, record).size(), 0);
     for (auto& row : record.rows)
-      if (row.mark == mark && row.gateway == 5) ++times[row.node];
+      if (row.mark == mark && row.gateway == 5)
+        ++times[row.node];
     return times;
   };
   Trouble lost{"lose", 3, 3, "", 1, 1, {}};
   lost.zone = "z3", scene.troubles = {lost};
   auto nodes = told(Mark::drained);
   CHECK_EQ(nodes.size(), 28);
-  for (auto& [node, times] : nodes) CHECK_EQ(node % 16, 3);
+  for (auto& [node, times] : nodes)
+    CHECK_EQ(node % 16, 3);
   Trouble roll{"roll", 1, 4, "", 1, 0.3, {}};
   roll.steps = 4, scene.troubles = {roll};
   CHECK_EQ(told(Mark::told).size(), 132);  // each once, when it came back
--- a/tests/members_scale_test.cpp
+++ b/tests/members_scale_test.cpp
@@ -17,14 +17,16 @@
 MembersScene sceneOf(Kind kind, double lasts, double part = 0, double restartsAt = 0) {
   MembersScene scene;
   scene.name = "scene", scene.kind = kind, scene.lasts = lasts, scene.part = part;
-  if (restartsAt > 0) scene.restartsAt = restartsAt;
+  if (restartsAt > 0)
+    scene.restartsAt = restartsAt;
   return scene;
 }
 
 std::vector<Phase> phasesOf(const MembersScene& scene, int size, uint64_t seed = 1) {
   Played played = play(scene, size, kRegions, seed);
   REQUIRE_EQ(played.broken, "");
-  for (auto& phase : played.phases) CHECK_EQ(phase.wrongDowns, 0);
+  for (auto& phase : played.phases)
+    CHECK_EQ(phase.wrongDowns, 0);
   return played.phases;
 }
 
@@ -32,7 +34,8 @@
 
 TEST_CASE("traffic: the worst 5 s, over seconds without any as well") {
   Traffic traffic(100);
-  for (int i = 0; i < 4; ++i) traffic.add(100.5 + i, 10);
+  for (int i = 0; i < 4; ++i)
+    traffic.add(100.5 + i, 10);
   CHECK_EQ(traffic.worst(), 8);
   traffic.add(107.9, 10);  // 4 s later, of the four before one counts still
   CHECK_EQ(traffic.worst(), 8);
@@ -67,7 +70,8 @@
 
 TEST_CASE("quiet: a member's messages don't grow with the fleet, its bytes hardly") {
   auto few = phasesOf(sceneOf(Kind::quiet, 30), kFew), many = phasesOf(sceneOf(Kind::quiet, 30), kMany);
-  for (auto* phases : {&few, &many}) CHECK(phases->at(1).messages < 4.05);  // 2 pings and 2 acks
+  for (auto* phases : {&few, &many})
+    CHECK(phases->at(1).messages < 4.05);  // 2 pings and 2 acks
   CHECK(many.at(1).bytes < 1.1 * few.at(1).bytes);
   CHECK(many.at(1).worstOfWorst < 1.5 * few.at(1).worstOfWorst);
 }
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -61,7 +61,8 @@
     auto shuffled = rows;
     for (size_t i = 0; i < rows.size(); ++i) {
       std::swap(shuffled[i], shuffled[*rc::gen::inRange<size_t>(i, rows.size())]);
-      if (*rc::gen::arbitrary<bool>()) shuffled.push_back(shuffled[i]);
+      if (*rc::gen::arbitrary<bool>())
+        shuffled.push_back(shuffled[i]);
     }
     auto digestAfter = [&](const auto& given) {
       Core core(plan, 0, {5, 1}, 1, 0);
@@ -101,7 +102,8 @@
     damaged[i / 8] = char(damaged[i / 8] ^ 1 << i % 8);
     CHECK_EQ(wrongOf(wire, damaged), Wrong::undecodable);
   }
-  for (size_t i = 0; i < bytes.size(); ++i) CHECK_EQ(wrongOf(wire, bytes.substr(0, i)), Wrong::undecodable);
+  for (size_t i = 0; i < bytes.size(); ++i)
+    CHECK_EQ(wrongOf(wire, bytes.substr(0, i)), Wrong::undecodable);
   CHECK_EQ(wrongOf(wire, std::string(kMostBytes + 1, 'x')), Wrong::tooLarge);
   Plan other = plan;
   other.fleet = "another";
@@ -115,7 +117,8 @@
       [&](const std::string& body) {  // the sum is the writer's: take it from a message with that body
         uint64_t sum = checksum(body);
         std::string head(8, '\0');
-        for (size_t i = 0; i < 8; ++i) head[i] = char(sum >> (8 * i) & 0xff);
+        for (size_t i = 0; i < 8; ++i)
+          head[i] = char(sum >> (8 * i) & 0xff);
         return head + body;
       };
   wire::Envelope envelope;
@@ -136,9 +139,11 @@
 TEST_CASE("a message that came before, or is older than all that is remembered, is counted and not heard") {
   Core core(Gossip::plan(3), 0, {5, 1}, 1, 0);
   auto replays = [&] { return core.view(0).wrong[size_t(Wrong::replayed)]; };
-  for (uint64_t sequence : {1, 3, 2, 200, 150}) core.hear(0, from(1, 0, sequence));
+  for (uint64_t sequence : {1, 3, 2, 200, 150})
+    core.hear(0, from(1, 0, sequence));
   CHECK_EQ(replays(), 0);
-  for (uint64_t sequence : {3, 200, 150, 100}) core.hear(0, from(1, 0, sequence));
+  for (uint64_t sequence : {3, 200, 150, 100})
+    core.hear(0, from(1, 0, sequence));
   CHECK_EQ(replays(), 4);
   core.hear(0, from(1, 0, 1, Kind::news, 11));  // another life counts anew; its earlier one is over
   CHECK_EQ(replays(), 4);
@@ -185,10 +190,12 @@
 TEST_CASE("a third is cut off for 30 s: each side knows its own, and all agree within 3 s of the end") {
   Together fleet(60, 11);
   std::vector<int> third;
-  for (int i = 0; i < 20; ++i) third.push_back(i);
+  for (int i = 0; i < 20; ++i)
+    third.push_back(i);
   fleet.part(third);
   fleet.run(fleet.now() + 30);
-  for (int i = 0; i < 60; ++i) CHECK_EQ(fleet.core(i).view(fleet.now()).there, i < 20 ? 20 : 40);
+  for (int i = 0; i < 60; ++i)
+    CHECK_EQ(fleet.core(i).view(fleet.now()).there, i < 20 ? 20 : 40);
   fleet.part(third, false);
   double took = fleet.untilAgreed(3);
   CHECK(took > 0);
@@ -198,7 +205,8 @@
 TEST_CASE("a process that stood still blames nobody when it goes on, and is there again at once") {
   Together fleet(12, 13);
   fleet.kill(7);
-  while (fleet.core(4).claimOf(7).state != State::suspect) fleet.run(fleet.now() + 0.01);
+  while (fleet.core(4).claimOf(7).state != State::suspect)
+    fleet.run(fleet.now() + 0.01);
   fleet.pause(4), fleet.start(7);  // its suspicion would have ended long before it goes on
   fleet.run(fleet.now() + 10);
   CHECK(fleet.agreed());  // it is down to all
@@ -247,9 +255,11 @@
   Together fleet(10, 23);
   fleet.pause(6);
   fleet.run(fleet.now() + 5);
-  for (int i = 0; i < 3; ++i) fleet.kill(i);
+  for (int i = 0; i < 3; ++i)
+    fleet.kill(i);
   fleet.run(fleet.now() + 20);
-  for (int i = 0; i < 3; ++i) fleet.start(i);
+  for (int i = 0; i < 3; ++i)
+    fleet.start(i);
   fleet.run(fleet.now() + 3600);
   fleet.resume(6);
   CHECK(fleet.untilAgreed(3) > 0);
@@ -283,16 +293,19 @@
       bool dead = !fleet.runs(who) && !paused[size_t(who)];
       switch (chance.next() % 7) {
         case 0:
-          if (!dead) fleet.kill(who), paused[size_t(who)] = false;
+          if (!dead)
+            fleet.kill(who), paused[size_t(who)] = false;
           break;
         case 1:
           fleet.kill(who), fleet.start(who, chance.between(-5, 5)), paused[size_t(who)] = false;
           break;
         case 2:
-          if (fleet.runs(who)) fleet.pause(who), paused[size_t(who)] = true;
+          if (fleet.runs(who))
+            fleet.pause(who), paused[size_t(who)] = true;
           break;
         case 3:
-          if (paused[size_t(who)]) fleet.resume(who), paused[size_t(who)] = false;
+          if (paused[size_t(who)])
+            fleet.resume(who), paused[size_t(who)] = false;
           break;
         case 4:
           fleet.cut(who, any());
@@ -301,19 +314,23 @@
           fleet.part({who, any()}, chance.next() % 2);
           break;
         case 6:
-          if (fleet.runs(who)) fleet.leave(who);
+          if (fleet.runs(who))
+            fleet.leave(who);
           break;
       }
     }
     for (int i = 0; i < count; ++i) {
-      if (paused[size_t(i)]) fleet.resume(i);
-      for (int j = 0; j < count; ++j) fleet.cut(i, j, false);
+      if (paused[size_t(i)])
+        fleet.resume(i);
+      for (int j = 0; j < count; ++j)
+        fleet.cut(i, j, false);
     }
     fleet.weather = {};
     double took =
         fleet.untilAgreed(20);  // a lone survivor, strained, takes 15 s to call the last of the others down
     CHECK(took >= 0);
-    if (took > longest) longest = took, slowest = seed;
+    if (took > longest)
+      longest = took, slowest = seed;
     REQUIRE_EQ(fleet.broken(), "");
   }
   MESSAGE("longest until agreed after the faults: ", longest, " s, seed ", slowest);
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -20,7 +20,8 @@
     for (double end = now() + kWait / 1e3; now() < end; pause(0.005)) {
       std::stringstream text;
       text << std::ifstream("/proc/net/tcp").rdbuf();
-      if (text.str().find(mark) != std::string::npos) return;
+      if (text.str().find(mark) != std::string::npos)
+        return;
     }
     FAIL("nobody has knocked");
   }
@@ -54,10 +55,12 @@
     auto client = service.client();
     client->write(post(1));
     unready.knocked();
-    if (together) service.kill(SIGSTOP);
+    if (together)
+      service.kill(SIGSTOP);
     client->close();
     auto peer = unready.ready();
-    if (together) service.kill(SIGCONT);
+    if (together)
+      service.kill(SIGCONT);
     CHECK(silent(*peer));
   }
 }
@@ -95,7 +98,8 @@
   Line first = stage.engines.next();
   client->write(std::string(200'000, 'x')), client->arrived();
   stage.service.kill(SIGSTOP);
-  client->write(std::string(60'000, 'x')), client->arrived();  // our end of it must stand in the program's own queue
+  client->write(std::string(60'000, 'x')),
+      client->arrived();  // our end of it must stand in the program's own queue
   client->close();
   first.answer("SHED");
   stage.service.kill(SIGCONT);
@@ -126,7 +130,8 @@
 TEST_CASE("told to end with an engine that hangs: all is answered before the platform may kill it") {
   Engines engines(1);
   Service service(engines, 1);
-  for (auto& profile : service.config["settings"]["classes"]) profile["deadlineUs"] = 1000000;
+  for (auto& profile : service.config["settings"]["classes"])
+    profile["deadlineUs"] = 1000000;
   service.start(), service.ready();
   auto out = service.client(), held = service.client(), once = service.client();
   out->write(post(1, "load", 60000, kToken + kKey));
@@ -170,7 +175,8 @@
 
 TEST_CASE("told to end again and again it ends as if told once") {
   Stage stage(1);
-  for (int i = 0; i < 12; ++i, pause(0.25)) stage.service.kill(i % 3 == 1 ? SIGHUP : SIGTERM);
+  for (int i = 0; i < 12; ++i, pause(0.25))
+    stage.service.kill(i % 3 == 1 ? SIGHUP : SIGTERM);
   CHECK_EQ(Peer::to(stage.service.listen), nullptr);
   CHECK_EQ(stage.service.status(), 0);
 }
@@ -195,7 +201,8 @@
   service.changeLog.down();
   log->close();
   std::list<std::unique_ptr<Peer>> idle;
-  for (int i = 0; i < 100; ++i) idle.push_back(service.client());
+  for (int i = 0; i < 100; ++i)
+    idle.push_back(service.client());
   auto client = service.client();
   client->write("GET /check HTTP/1.1\r\n\r\n");
   CHECK_EQ(answer(*client), "200 {}");
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -68,7 +68,9 @@
   change(json);
   try {
     readConfig(json);
-  } catch (const std::invalid_argument& fault) { return fault.what(); }
+  } catch (const std::invalid_argument& fault) {
+    return fault.what();
+  }
   return "none";
 }
 
@@ -81,9 +83,11 @@
       {"req-id", "9b1f03aa5c7e2d41"}, {"req-wait-ms", "1500"}, {"req-owner", "acme"},
       {"req-cost", "820.5"},          {"x-ram", "96"},         {"req-key", "7f3a9c21e0b4d655"},
       {"req-token", "5c0f6e1a"}};
-  for (auto& [name, value] : changed) fields[name] = value;
+  for (auto& [name, value] : changed)
+    fields[name] = value;
   for (auto& [name, value] : fields)
-    if (value != "-") made.headers.emplace_back(name, value);
+    if (value != "-")
+      made.headers.emplace_back(name, value);
   return made;
 }
 
@@ -189,7 +193,8 @@
 
 // An engine with a command that goes to it, and the listener that stands for its machine.
 struct OneEngine {
-  OneEngine() : listener(::socket(AF_INET, SOCK_STREAM, 0)), dispatcher(loop.scheduler, settings, 1), room(8) {
+  OneEngine()
+      : listener(::socket(AF_INET, SOCK_STREAM, 0)), dispatcher(loop.scheduler, settings, 1), room(8) {
     sockaddr_in native{};
     native.sin_family = AF_INET, native.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof native;
@@ -241,7 +246,8 @@
   one.engine.send(one.ticket, one.loop.scheduler.now() + 40);
   one.accept();
   std::string notes, note = "9b1f INFO - 0\r\n\r\n";
-  while (notes.size() < 1'000'000) notes += note;
+  while (notes.size() < 1'000'000)
+    notes += note;
   notes += "and nothing of ours at the end\r\n";
   REQUIRE_EQ(::send(one.peer, notes.data(), notes.size(), MSG_DONTWAIT), ssize_t(notes.size()));
   int turns = 0;  // of others, until the engine's connection is closed for its last line
@@ -281,14 +287,17 @@
   double due = loop.scheduler.now() + 0.8;
   auto stall = [](Scheduler& scheduler, double until) -> Task {  // in the second turn, past that time
     Signal signal(scheduler);
-    for (int turn = 0; turn < 2; ++turn) co_await signal.others();
-    while (scheduler.now() < until) ::usleep(1000);
+    for (int turn = 0; turn < 2; ++turn)
+      co_await signal.others();
+    while (scheduler.now() < until)
+      ::usleep(1000);
   };
   Task task = stall(loop.scheduler, due);
   task.start();
   loop.scheduler.run();  // to its own end: all are told, and it has waited for them
   CHECK_GE(loop.scheduler.now(), due);
-  for (int fd : stampede) ::close(fd);
+  for (int fd : stampede)
+    ::close(fd);
 }
 
 TEST_CASE("each way to end has its outcome") {
@@ -361,7 +370,8 @@
   settings.kinds = {{"std", 8, 9}};
   CHECK_EQ(status({}), 400);  // more than ten times what the largest engine has
   settings.kinds.clear();
-  for (auto name : {"req-id", "req-wait-ms", "req-owner", "req-token"}) CHECK_EQ(status({{name, "-"}}), 400);
+  for (auto name : {"req-id", "req-wait-ms", "req-owner", "req-token"})
+    CHECK_EQ(status({{name, "-"}}), 400);
   for (auto& [name, value] :
        std::initializer_list<std::pair<const char*, const char*>>{{"req-id", "xyz"},
                                                                   {"req-id", "9b1f03aa5c7e2d4g"},
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -11,7 +11,8 @@
 // A site whose commands can wait long, so that nothing is shed, and a note that shows pressure.
 Settings patient() {
   auto site = Scene::site();
-  for (auto& profile : site.profiles) profile.target = 60, profile.clientTimeout = 100;
+  for (auto& profile : site.profiles)
+    profile.target = 60, profile.clientTimeout = 100;
   return site;
 }
 void press(Scene& scene) {
@@ -26,7 +27,8 @@
 TEST_CASE("turns are paid in work and weighted by share") {
   // A leaf that waits after a lost draw once lost its turns too: shares came out equal.
   auto site = patient();
-  for (auto& profile : site.profiles) profile.target = 1000, profile.clientTimeout = 2000;
+  for (auto& profile : site.profiles)
+    profile.target = 1000, profile.clientTimeout = 2000;
   Scene scene(site);
   scene.nodes({1});
   press(scene);
@@ -57,13 +59,16 @@
   Scene scene(patient());
   scene.nodes({1});
   scene.say("no pressure: all start, above the mark too");
-  for (int i = 0; i < 18; ++i) scene.take(numbered("free", i), "quick", 1.0);
+  for (int i = 0; i < 18; ++i)
+    scene.take(numbered("free", i), "quick", 1.0);
   scene.say("after a full refusal: by chance, rarer the fuller the node; a loser waits and draws again");
   press(scene);
-  for (int i = 0; i < 20; ++i) scene.take(numbered("bound", i), "quick", 1.0);
+  for (int i = 0; i < 20; ++i)
+    scene.take(numbered("bound", i), "quick", 1.0);
   scene.to(100.6);
   scene.say("answers make room");
-  for (int i = 0; i < 18; ++i) scene.ends(numbered("free", i), Outcome::answered, 0.6);
+  for (int i = 0; i < 18; ++i)
+    scene.ends(numbered("free", i), Outcome::answered, 0.6);
   scene.to(100.8);
   scene.check("mark");
 }
@@ -104,7 +109,8 @@
   Scene scene(Scene::site());
   scene.nodes({1, 2});
   scene.nodes({1}, NodeState::draining, {}, ListKind::changes);
-  for (int i = 0; i < 6; ++i) scene.take(numbered("c", i), "quick", 0.1, "north", i);
+  for (int i = 0; i < 6; ++i)
+    scene.take(numbered("c", i), "quick", 0.1, "north", i);
   CHECK_EQ(scene.sent[1], 0);
   CHECK_EQ(scene.sent[2], 6);
 }
@@ -114,10 +120,12 @@
   site.gateways = 2;
   Scene scene(site);
   scene.nodes({1}, NodeState::inService, 99.5);
-  for (int i = 0; i < 4; ++i) scene.take(numbered("early", i), "quick", 0.3);
+  for (int i = 0; i < 4; ++i)
+    scene.take(numbered("early", i), "quick", 0.3);
   CHECK_EQ(scene.sent[1], 0);  // an earlier life may have sent work there
   scene.to(101.5);
-  for (int i = 0; i < 20; ++i) scene.take(numbered("c", i), "quick", 0.3, "north", i);
+  for (int i = 0; i < 20; ++i)
+    scene.take(numbered("c", i), "quick", 0.3, "north", i);
   scene.to(102.2);
   // 2 x 0.4 of the capacity of 8 cores, of which 0.4 are sure, in a second, by two gateways: 1.28 s of work
   CHECK_LE(scene.sent[1] * 0.3, 1.28);
@@ -143,18 +151,21 @@
       for (int step = 0; step < 60; ++step) {
         if (step == 30)
           scene.restart(), scene.nodes({cold}, NodeState::inService, 99.9);  // all of them at once
-        if (step % 30 == 0) taken = 0, had = scene.sent[cold];
+        if (step % 30 == 0)
+          taken = 0, had = scene.sent[cold];
         for (; taken - (scene.sent[cold] - had) < crowd; ++taken)
           scene.take(numbered("c", step * 1000 + taken), "quick", taken % 3 ? 0.05 : 0.15);
         int before = scene.sent[cold];
-        for (auto& [name, node] : std::exchange(scene.at, {})) scene.ends(name, Outcome::answered, 0.1);
+        for (auto& [name, node] : std::exchange(scene.at, {}))
+          scene.ends(name, Outcome::answered, 0.1);
         scene.to(scene.now + 0.1);
         sent[step] += (scene.sent[cold] - before) * 0.15;  // as if all were the dearest
       }
     }
     for (int from = 0; from < 50; ++from) {
       double window = 0;
-      for (int step = from; step <= from + 10; ++step) window += sent[step];
+      for (int step = from; step <= from + 10; ++step)
+        window += sent[step];
       most = std::max(most, window), all += window / 50 / rounds;
     }
   }
@@ -169,7 +180,8 @@
   site.gateways = 300;
   std::map<uint32_t, int> by;  // gateways that send there
   std::vector<uint32_t> ids;
-  for (uint32_t id = 1; id <= 80; ++id) ids.push_back(id);
+  for (uint32_t id = 1; id <= 80; ++id)
+    ids.push_back(id);
   for (uint64_t who = 0; who < 300; ++who) {
     Scene scene(site, who * 7919);
     scene.nodes(ids);
@@ -179,10 +191,12 @@
       scene.ends(c, Outcome::answered, 0.1), scene.to(scene.now + 0.04);
     }
     CHECK_LE(scene.sent.size(), 24);
-    for (auto& [node, times] : scene.sent) by[node] += 1;
+    for (auto& [node, times] : scene.sent)
+      by[node] += 1;
   }
   CHECK_EQ(by.size(), 80);
-  for (auto& [node, gateways] : by) CHECK_GE(gateways, 25);
+  for (auto& [node, gateways] : by)
+    CHECK_GE(gateways, 25);
 }
 
 TEST_CASE("rule 5: one of a key at a time, in the order taken, after the quiet time") {
@@ -190,7 +204,8 @@
   site.profiles[0].ordered = true, site.keyQuiet = 0.3;
   Scene scene(site);
   scene.nodes({1, 2});
-  for (int i = 0; i < 3; ++i) scene.take(numbered("k", i), "quick", 0.1, "north", 1, 42);
+  for (int i = 0; i < 3; ++i)
+    scene.take(numbered("k", i), "quick", 0.1, "north", 1, 42);
   scene.take("free", "quick", 0.1, "north", 1, 43);
   scene.say("k0 is withdrawn while its send is out: k1 waits for the outcome and the quiet time");
   scene.commands["k0"]->withdrawn();
@@ -239,7 +254,8 @@
   scene.take("c", "quick", 0.1, "north", 9);
   uint32_t full = scene.at["c"];
   scene.ends("c", Outcome::full);
-  for (int i = 0; i < 6; ++i) scene.take(numbered("d", i), "quick", 0.1, "north", 9);
+  for (int i = 0; i < 6; ++i)
+    scene.take(numbered("d", i), "quick", 0.1, "north", 9);
   CHECK_EQ(scene.sent[full], 1);
 }
 
@@ -254,7 +270,8 @@
       for (int i = 0; i < 12; ++i) {
         auto c = numbered("c", round++);
         scene.take(c, "quick", 0.05, "north", i);
-        if (!silent || scene.at[c] != 2) scene.ends(c, Outcome::answered, 0.05);
+        if (!silent || scene.at[c] != 2)
+          scene.ends(c, Outcome::answered, 0.05);
       }
   };
   traffic(101.7);
@@ -285,7 +302,8 @@
   // Starts by chance once overfilled memory, and engines paged.
   Scene scene(Scene::site());
   scene.nodes({1});
-  for (int i = 0; i < 5; ++i) scene.take(numbered("c", i), "dear", 0.5, "north", 1, {}, 0, 5000);
+  for (int i = 0; i < 5; ++i)
+    scene.take(numbered("c", i), "dear", 0.5, "north", 1, {}, 0, 5000);
   CHECK_EQ(scene.sent[1], 1);  // of 16000 MB, filled three tenths less where few sends tell
 }
 
@@ -296,7 +314,8 @@
   Scene scene(site);
   scene.nodes({1, 2, 3});
   scene.take("load", "load", 2, "north", 5);
-  for (int i = 0; i < 9; ++i) scene.take(numbered("c", i), "quick", 0.1, "north", 5);
+  for (int i = 0; i < 9; ++i)
+    scene.take(numbered("c", i), "quick", 0.1, "north", 5);
   CHECK_EQ(scene.sent[scene.at["load"]], 1);
 }
 
@@ -308,8 +327,10 @@
   scene.take("early", "dear", 1);
   for (int i = 0; i < 2; ++i)  // both nodes are full, and get nothing for a while
     scene.take("refused", "quick", 0.1), scene.ends("refused", Outcome::full, 0, true);
-  for (int i = 0; i < 8; ++i) scene.take(numbered("small", i), "dear", 1);
-  for (int i = 0; i < 4; ++i) scene.take(numbered("huge", i), "dear", 20);
+  for (int i = 0; i < 8; ++i)
+    scene.take(numbered("small", i), "dear", 1);
+  for (int i = 0; i < 4; ++i)
+    scene.take(numbered("huge", i), "dear", 20);
   scene.to(100.2);
   scene.say("an error now gets no further send");
   scene.ends("early", Outcome::error);
@@ -321,14 +342,16 @@
   Scene scene(Scene::site());
   scene.nodes({1, 2});
   for (int round = 0; round < 20; ++round) {
-    for (int i = 0; i < 200; ++i) scene.take(numbered("c", i), "quick", 0.01, "north", 1, {}, 0, 1);
+    for (int i = 0; i < 200; ++i)
+      scene.take(numbered("c", i), "quick", 0.01, "north", 1, {}, 0, 1);
     Bill bill{0.01, 4};
     for (int i = 0; i < 200; ++i)
       scene.commands[numbered("c", i)]->outcome(Outcome::answered, 0.01, true, &bill, nullptr);
     scene.to(scene.now + 0.5);
   }
   scene.sent.clear();
-  for (int i = 0; i < 100; ++i) scene.take(numbered("d", i), "quick", 0.01, "north", 1, {}, 0, 1);
+  for (int i = 0; i < 100; ++i)
+    scene.take(numbered("d", i), "quick", 0.01, "north", 1, {}, 0, 1);
   CHECK_EQ(scene.sent[1] + scene.sent[2], 100);
 }
 
@@ -339,8 +362,10 @@
   for (int i = 0; scene.now < 104; scene.to(scene.now + 0.02), ++i) {
     auto c = numbered("c", i);
     scene.take(c, "quick", 0.05, "north", i);
-    if (scene.at[c] != 2 || i % 4 == 0) scene.ends(c, Outcome::answered, 0.05);
-    else scene.commands[c]->note(Topic::progress, 0.1);
+    if (scene.at[c] != 2 || i % 4 == 0)
+      scene.ends(c, Outcome::answered, 0.05);
+    else
+      scene.commands[c]->note(Topic::progress, 0.1);
   }
   CHECK_NE(scene.trace.str().find("node 2 rests: it fails"), std::string::npos);
   CHECK_EQ(scene.trace.str().find("node 1 rests"), std::string::npos);
@@ -358,8 +383,10 @@
     scene.to(scene.now + 15);  // over the pause that follows a full refusal
     auto c = numbered("c", i);
     scene.take(c, "dear", 1);
-    if (scene.at.count(c)) ++started, scene.ends(c, Outcome::answered, 0.01);
-    else scene.commands[c]->withdrawn();
+    if (scene.at.count(c))
+      ++started, scene.ends(c, Outcome::answered, 0.01);
+    else
+      scene.commands[c]->withdrawn();
   }
   CHECK_GT(started, 5);
   CHECK_LT(started, 30);
@@ -377,7 +404,8 @@
     scene.take(numbered("c", i), "quick", 0.1);
     scene.to(scene.now + 0.1), scene.ends(numbered("c", i), Outcome::answered, 0.1);
   }
-  for (auto& [node, sends] : scene.sent) CHECK_LE(sends, 12);  // of 64 over eight nodes
+  for (auto& [node, sends] : scene.sent)
+    CHECK_LE(sends, 12);  // of 64 over eight nodes
 }
 
 TEST_CASE("what nodes report stands beside what one gateway of many happens to have out") {
@@ -386,16 +414,19 @@
   site.gateways = 300, site.probing = true, site.shortMemory = ShortMemory::overcommit;
   Scene scene(site);
   std::vector<uint32_t> ids;
-  for (uint32_t id = 1; id <= 20; ++id) ids.push_back(id);
+  for (uint32_t id = 1; id <= 20; ++id)
+    ids.push_back(id);
   scene.nodes(ids);
   press(scene);
   for (int i = 0; i < 40; ++i) {  // others have two in hand on each node
     scene.take(numbered("c", i), "quick", 0.2, "north", i, {}, 0, 350);
     Report report;
     report.inHand = 2, report.waiting = 1;  // which shows pressure
-    for (uint32_t id : ids) scene.gateway->probed(id, Outcome::answered, &report);
+    for (uint32_t id : ids)
+      scene.gateway->probed(id, Outcome::answered, &report);
     scene.to(scene.now + 0.1);
-    if (scene.at.count(numbered("c", i))) scene.ends(numbered("c", i), Outcome::answered, 0.2);
+    if (scene.at.count(numbered("c", i)))
+      scene.ends(numbered("c", i), Outcome::answered, 0.2);
   }
   press(scene);
   scene.take("one", "quick", 0.2, "north", 1, {}, 0, 350),
@@ -415,13 +446,18 @@
       scene.take(numbered("p", i), "quick", 0.1, "north", i);
       scene.commands[numbered("p", i)]->note(Topic::waits, 1);
     }
-    for (auto& [name, node] : std::exchange(scene.at, {})) scene.ends(name, Outcome::answered, 0.1);
+    for (auto& [name, node] : std::exchange(scene.at, {}))
+      scene.ends(name, Outcome::answered, 0.1);
     scene.sent.clear();
-    for (int i = 0; i < 6; ++i) scene.take(numbered("c", i), "quick", 0.5, "north", i, {}, 0, 2000);
+    for (int i = 0; i < 6; ++i)
+      scene.take(numbered("c", i), "quick", 0.5, "north", i, {}, 0, 2000);
     int started = 0;
-    for (auto& [node, sends] : scene.sent) started += sends;
-    if (pressure) CHECK_LT(started, 6);
-    else CHECK_EQ(started, 6);
+    for (auto& [node, sends] : scene.sent)
+      started += sends;
+    if (pressure)
+      CHECK_LT(started, 6);
+    else
+      CHECK_EQ(started, 6);
   }
 }
 
@@ -445,8 +481,10 @@
   for (int i = 0; i < 100; ++i, scene.to(scene.now + 0.1)) {
     auto c = numbered("c", i);
     scene.take(c, "quick", 0.1);
-    if (scene.at.erase(c)) scene.ends(c, Outcome::full, 0.001, true);
-    else scene.commands[c]->withdrawn();
+    if (scene.at.erase(c))
+      scene.ends(c, Outcome::full, 0.001, true);
+    else
+      scene.commands[c]->withdrawn();
   }
   CHECK_GT(scene.sent[1], 2);
   CHECK_LT(scene.sent[1], 10);
@@ -484,7 +522,8 @@
     }
     std::string trace = scene.trace.str();
     int probes = 0;
-    for (size_t at = 0; (at = trace.find("probe ", at)) != std::string::npos; ++at) ++probes;
+    for (size_t at = 0; (at = trace.find("probe ", at)) != std::string::npos; ++at)
+      ++probes;
     CHECK_EQ(probes > 8 && probes < 20, probing);
     CHECK_EQ(scene.sent[2] > 0, !probing);
   }
@@ -504,7 +543,8 @@
   scene.to(scene.now + 6);
   scene.nodes({1}, NodeState::inService, {}, ListKind::changes);
   scene.sent.clear();
-  for (int i = 0; i < 8; ++i) scene.take(numbered("d", i), "quick", 0.1, "north", uint64_t(i));
+  for (int i = 0; i < 8; ++i)
+    scene.take(numbered("d", i), "quick", 0.1, "north", uint64_t(i));
   CHECK_GT(scene.sent[1], 1);  // no trials, one at a time
 }
 
@@ -513,7 +553,8 @@
   scene.nodes({1});
   scene.take("usual", "quick", 0.1);
   scene.ends("usual", Outcome::answered, 0.1);
-  for (int i = 0; i < 20; ++i) scene.take(numbered("odd", i), "quick", 80000);
+  for (int i = 0; i < 20; ++i)
+    scene.take(numbered("odd", i), "quick", 80000);
   scene.take("unknown", "quick", 0);  // without an estimate it counts as usual
   CHECK_EQ(scene.at.count("unknown"), 1);
 }
@@ -523,7 +564,8 @@
   site.profiles[2].load = true;
   Scene scene(site);
   scene.nodes({1, 2});
-  for (int i = 0; i < 4; ++i) scene.take(numbered("same", i), "load", 1, "north", 1);
+  for (int i = 0; i < 4; ++i)
+    scene.take(numbered("same", i), "load", 1, "north", 1);
   scene.take("other", "load", 1, "north", 2);
   scene.to(scene.now + 0.5);
   CHECK_EQ(scene.at.count("same1") + scene.at.count("same2"), 1);  // the group is held on both nodes
@@ -541,10 +583,12 @@
       for (uint64_t group = 0; group < 20; ++group) {
         auto name = numbered("c", number++);
         scene.take(name, "quick", 0.1, "north", group);
-        if (!scene.at.count(name)) continue;
+        if (!scene.at.count(name))
+          continue;
         uint32_t node = scene.at[name];
         bool fails = (due[node] += rates[node - 1]) >= 1;
-        if (fails) due[node] -= 1;
+        if (fails)
+          due[node] -= 1;
         scene.ends(name, fails ? Outcome::error : Outcome::answered, 0.1, true);
       }
   };
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -28,7 +28,8 @@
     std::string buffer, told;
     for (size_t i = 0; i < bytes.size(); ++i) {
       buffer += bytes[i];
-      if (cutAfter(i) || i + 1 == bytes.size()) told += tell(buffer);
+      if (cutAfter(i) || i + 1 == bytes.size())
+        told += tell(buffer);
     }
     return told;
   };
@@ -43,11 +44,15 @@
     HttpRequest request;
     while (true) {
       auto state = reader.next(bytes, request);
-      if (state == HttpReader::State::more) return told;
-      if (state == HttpReader::State::continues) continue;
-      if (state == HttpReader::State::bad) return told + "bad " + std::to_string(reader.status());
+      if (state == HttpReader::State::more)
+        return told;
+      if (state == HttpReader::State::continues)
+        continue;
+      if (state == HttpReader::State::bad)
+        return told + "bad " + std::to_string(reader.status());
       told += request.method + " " + request.path + " [" + request.body + "]";
-      if (auto* id = request.header("req-id")) told += " id " + *id;
+      if (auto* id = request.header("req-id"))
+        told += " id " + *id;
       told += request.keepAlive ? ";" : " closes;";
     }
   };
@@ -59,14 +64,18 @@
     EngineAnswer answer;
     while (true) {
       auto state = reader.next(bytes, answer);
-      if (state == EngineReader::State::more) return told;
-      if (state == EngineReader::State::bad) return told + "bad";
+      if (state == EngineReader::State::more)
+        return told;
+      if (state == EngineReader::State::bad)
+        return told + "bad";
       told += answer.id + " " + std::to_string(int(answer.word)) + " pages " + std::to_string(answer.pages) +
               " page " + std::to_string(answer.page) + " [" + answer.body + "]";
       if (answer.topic)
         told += " note " + std::to_string(int(*answer.topic)) + "=" + std::to_string(answer.level);
-      if (answer.report) told += " in hand " + std::to_string(answer.report->inHand.value_or(-1));
-      if (answer.bill) told += " work " + std::to_string(answer.bill->work);
+      if (answer.report)
+        told += " in hand " + std::to_string(answer.report->inHand.value_or(-1));
+      if (answer.bill)
+        told += " work " + std::to_string(answer.bill->work);
       told += ";";
     }
   };
@@ -78,8 +87,10 @@
     ListEvent event;
     while (true) {
       auto state = reader.next(bytes, event);
-      if (state == FrameReader::State::more) return told;
-      if (state == FrameReader::State::bad) return told + "bad";
+      if (state == FrameReader::State::more)
+        return told;
+      if (state == FrameReader::State::bad)
+        return told + "bad";
       if (state == FrameReader::State::nothingNew) {
         told += "nothing new;";
         continue;
@@ -96,7 +107,8 @@
 
 std::string big(uint64_t value, int width) {
   std::string bytes;
-  for (int i = width - 1; i >= 0; --i) bytes += static_cast<char>(value >> (8 * i) & 0xff);
+  for (int i = width - 1; i >= 0; --i)
+    bytes += static_cast<char>(value >> (8 * i) & 0xff);
   return bytes;
 }
 std::string frame(uint64_t number, uint64_t kind, const std::string& payload) {
@@ -237,7 +249,8 @@
   CHECK_EQ(json(""), "[");
   CHECK_EQ(json("\xe2\x82\xac\t\xf0\x9f\x8c\xab\t\xed\x9f\xbf\n"),
            "[[\"\xe2\x82\xac\",\"\xf0\x9f\x8c\xab\",\"\xed\x9f\xbf\"]");
-  for (auto page : {"a\tb\tc", "a\tb\n", "a\tb\tc\td\n", "\n"}) CHECK_EQ(json(page), "bad");
+  for (auto page : {"a\tb\tc", "a\tb\n", "a\tb\tc\td\n", "\n"})
+    CHECK_EQ(json(page), "bad");
   for (auto noise : {"\xff", "\x80", "\xc3", "\xc0\xaf", "\xe2\x82", "\xe0\x9f\xbf", "\xed\xa0\x80",
                      "\xf0\x8f\xbf\xbf", "\xf4\x90\x80\x80", "\xf5\x80\x80\x80"})
     CHECK_EQ(json("a\tb\t" + std::string(noise) + "\n"), "bad");  // no text that a client could read
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -25,7 +25,8 @@
 Figure figure(const std::string& name, const std::function<double(double)>& of) {
   Figure one;
   one.name = name, one.variant = "off", one.unit = "cores", one.xName = "engines", one.xs = kSizes;
-  for (double x : kSizes) one.ys.push_back(of(x));
+  for (double x : kSizes)
+    one.ys.push_back(of(x));
   one.target = 44000;
   return one;
 }
@@ -46,7 +47,9 @@
 std::vector<std::string> faultsOf(const std::function<void()>& act) {
   try {
     act();
-  } catch (const Faults& faults) { return faults.lines; }
+  } catch (const Faults& faults) {
+    return faults.lines;
+  }
   return {};
 }
 
@@ -194,7 +197,8 @@
   bounds.mostMb = 1e6, bounds.endsAt = secondsNow() - 1;
   CHECK(faultsOf([&] { bounds.check(); }).size() == 1);
   bounds.endsAt += 60;
-  for (pid_t pid = 1'000'000; pid < 1'000'199; ++pid) bounds.processes.insert(pid);
+  for (pid_t pid = 1'000'000; pid < 1'000'199; ++pid)
+    bounds.processes.insert(pid);
   CHECK(faultsOf([&] { bounds.check(); }).size() == 1);
 }
 
@@ -224,7 +228,8 @@
     std::string pid, name, state;
     return bool(file >> pid >> name >> state) && state != "Z";
   };
-  for (int i = 0; i < 500 && (std::filesystem::exists(path) || runs()); ++i) usleep(10'000);
+  for (int i = 0; i < 500 && (std::filesystem::exists(path) || runs()); ++i)
+    usleep(10'000);
   CHECK_FALSE(std::filesystem::exists(path));
   CHECK_FALSE(runs());
 }
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -41,14 +41,16 @@
   void nodes(std::vector<uint32_t> ids, NodeState state = NodeState::inService,
              std::optional<double> started = {}, ListKind kind = ListKind::full) {
     std::vector<NodeRow> rows;
-    for (uint32_t id : ids) rows.push_back({id, id % 2 ? "a" : "b", "eight", 0, state, started});
+    for (uint32_t id : ids)
+      rows.push_back({id, id % 2 ? "a" : "b", "eight", 0, state, started});
     gateway->list(kind, rows), gateway->settle();
   }
   void take(const std::string& name, const std::string& profile, double work,
             const std::string& tenant = "north", uint64_t tables = 1, std::optional<uint64_t> key = {},
             double left = 0, double memory = 0) {
     for (auto& p : settings.profiles)
-      if (p.name == profile && left == 0) left = p.clientTimeout;
+      if (p.name == profile && left == 0)
+        left = p.clientTimeout;
     commands[name] = gateway->take({profile, tenant, tables, key, work, memory, left}), gateway->settle();
   }
   void ends(const std::string& name, Outcome what, double took = 0.01, bool final = false) {
@@ -64,7 +66,8 @@
   }
   std::string name(Command& command) const {
     for (auto& [known, held] : commands)
-      if (held.get() == &command) return known;
+      if (held.get() == &command)
+        return known;
     return "new";  // before its handle is known
   }
   template <typename... Figures>
@@ -95,7 +98,8 @@
   // The trace against the kept one; ELMCLEAT_KEEP=1 keeps the new one, to be read before it is committed.
   void check(const std::string& file) {
     std::string path = std::string(TRACES) + file + ".txt";
-    if (std::getenv("ELMCLEAT_KEEP")) std::ofstream(path) << trace.str();
+    if (std::getenv("ELMCLEAT_KEEP"))
+      std::ofstream(path) << trace.str();
     std::ifstream kept(path);
     std::stringstream text;
     text << kept.rdbuf();
--- a/tests/seeds.h
+++ b/tests/seeds.h
@@ -17,6 +17,7 @@
 #else
   constexpr int kUsual = 200;
 #endif
-  if (int one = number("ELMCLEAT_SEED", 0)) return {one, one};
+  if (int one = number("ELMCLEAT_SEED", 0))
+    return {one, one};
   return {1, number("ELMCLEAT_SEEDS", kUsual)};
 }
--- a/tests/service.h
+++ b/tests/service.h
@@ -72,14 +72,16 @@
   ~Peer() { close(); }
   static std::unique_ptr<Peer> to(sockaddr_in address) {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (connect(fd, raw(address), sizeof address) == 0) return std::make_unique<Peer>(fd);
+    if (connect(fd, raw(address), sizeof address) == 0)
+      return std::make_unique<Peer>(fd);
     ::close(fd);
     return nullptr;
   }
 
   int fd() const { return fd_; }
   void close() {
-    if (fd_ >= 0) ::close(std::exchange(fd_, -1));
+    if (fd_ >= 0)
+      ::close(std::exchange(fd_, -1));
   }
   void reset() {  // a break, not an orderly close
     linger hard{1, 0};
@@ -93,33 +95,39 @@
     int left = 1;
     for (int waits = 0; left > 0 && waits < kWait; ++waits) {
       REQUIRE_EQ(ioctl(fd_, SIOCOUTQ, &left), 0);
-      if (left > 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+      if (left > 0)
+        std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
     REQUIRE_EQ(left, 0);
   }
   bool more() {  // false at the end, or when nothing came in time
     char part[4096];
     ssize_t got = recv(fd_, part, sizeof part, 0);
-    if (got > 0) in.append(part, static_cast<size_t>(got));
-    else over_ = got == 0 || errno != EAGAIN;
+    if (got > 0)
+      in.append(part, static_cast<size_t>(got));
+    else
+      over_ = got == 0 || errno != EAGAIN;
     return got > 0;
   }
   std::string until(const std::string& mark) {
     size_t at;
     while ((at = in.find(mark)) == std::string::npos)
-      if (!more()) return "";
+      if (!more())
+        return "";
     std::string text = in.substr(0, at);
     in.erase(0, at + mark.size());
     return text;
   }
   std::string bytes(size_t count) {
-    while (in.size() < count && more()) {}
+    while (in.size() < count && more()) {
+    }
     std::string text = in.substr(0, count);
     in.erase(0, text.size());
     return text;
   }
   bool ended() {  // by the other side, with nothing left to read
-    while (in.empty() && more()) {}
+    while (in.empty() && more()) {
+    }
     return in.empty() && over_;
   }
   std::string in;
@@ -176,20 +184,26 @@
   Line next(int wait = kWait) {
     for (double end = now() + wait / 1e3; now() < end;) {
       for (auto& [engine, peer] : peers_)
-        if (peer->in.find("\r\n") != std::string::npos) return read(engine, *peer);
+        if (peer->in.find("\r\n") != std::string::npos)
+          return read(engine, *peer);
       std::vector<pollfd> ready;
-      for (auto& listener : listeners_) ready.push_back({listener.fd(), POLLIN, 0});
+      for (auto& listener : listeners_)
+        ready.push_back({listener.fd(), POLLIN, 0});
       for (auto& [engine, peer] : peers_)
-        if (peer->fd() >= 0) ready.push_back({peer->fd(), POLLIN, 0});
-      if (poll(ready.data(), ready.size(), std::max(1, int((end - now()) * 1e3))) <= 0) break;
+        if (peer->fd() >= 0)
+          ready.push_back({peer->fd(), POLLIN, 0});
+      if (poll(ready.data(), ready.size(), std::max(1, int((end - now()) * 1e3))) <= 0)
+        break;
       int index = 0;
       for (auto& listener : listeners_) {
-        if (ready[size_t(index)].revents) peers_.emplace_back(index, listener.accept());
+        if (ready[size_t(index)].revents)
+          peers_.emplace_back(index, listener.accept());
         ++index;
       }
       for (auto& [engine, peer] : peers_)
         for (auto& one : ready)
-          if (one.fd == peer->fd() && one.revents && !peer->more()) peer->close(), ++closed;
+          if (one.fd == peer->fd() && one.revents && !peer->more())
+            peer->close(), ++closed;
     }
     return {};
   }
@@ -243,12 +257,14 @@
   }
   std::set<uint32_t> reached() {
     std::set<uint32_t> all;
-    for (auto& sent : record()) all.insert(sent.engine);
+    for (auto& sent : record())
+      all.insert(sent.engine);
     return all;
   }
   void set(Way way, const std::set<uint32_t>& engines) {
     std::lock_guard lock(mutex_);
-    for (uint32_t engine : engines) ways_[engine] = way;
+    for (uint32_t engine : engines)
+      ways_[engine] = way;
   }
   int open(uint32_t engine) {  // connections there now
     std::lock_guard lock(mutex_);
@@ -279,20 +295,24 @@
   // False once it is over.
   bool serve(End& end, bool news) {
     Way way = wayOf(end.engine);
-    if (way == Way::refuses) return end.peer.reset(), false;
+    if (way == Way::refuses)
+      return end.peer.reset(), false;
     bool over = news && !end.peer.more();
     while (end.peer.in.find("\r\n") != std::string::npos) {
       std::istringstream words(end.peer.until("\r\n"));
       std::string verb, id, fields;
       size_t length = 0;
       words >> verb >> id >> fields;
-      if (words >> length) end.peer.bytes(length + 2);
-      if (verb != "GET") continue;
+      if (words >> length)
+        end.peer.bytes(length + 2);
+      if (verb != "GET")
+        continue;
       {
         std::lock_guard lock(mutex_);
         record_.push_back({now(), id, end.engine});
       }
-      if (way == Way::hangs) continue;
+      if (way == Way::hangs)
+        continue;
       end.owed.push_back({now() + (way == Way::late ? kLate : 0), id + " HIT fetches=1 6\r\na\tb\tc\n\r\n"});
     }
     for (; !end.owed.empty() && end.owed.front().first <= now(); end.owed.pop_front()) {
@@ -305,7 +325,8 @@
     std::list<End> ends;
     while (!over_) {
       std::vector<pollfd> ready{{listener_, POLLIN, 0}};
-      for (auto& end : ends) ready.push_back({end.peer.fd(), POLLIN, 0});
+      for (auto& end : ends)
+        ready.push_back({end.peer.fd(), POLLIN, 0});
       poll(ready.data(), ready.size(), 20);
       size_t i = 1;
       for (auto one = ends.begin(); one != ends.end(); ++i) {
@@ -317,7 +338,8 @@
         --open_[one->engine], ++ended_;
         one = ends.erase(one);
       }
-      if (!ready[0].revents) continue;
+      if (!ready[0].revents)
+        continue;
       sockaddr_in local{};
       socklen_t room = sizeof local;
       int fd = accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
@@ -339,7 +361,8 @@
 
 std::string big(uint64_t value, int width) {
   std::string bytes;
-  for (int i = width - 1; i >= 0; --i) bytes += static_cast<char>(value >> (8 * i) & 0xff);
+  for (int i = width - 1; i >= 0; --i)
+    bytes += static_cast<char>(value >> (8 * i) & 0xff);
   return bytes;
 }
 
@@ -388,7 +411,8 @@
     config["settings"]["classes"][1]["sequential"] = true;
   }
   ~Service() {
-    if (pid_ > 0) ::kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
+    if (pid_ > 0)
+      ::kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
     std::filesystem::remove_all(folder_);
   }
 
@@ -396,22 +420,27 @@
   void configure(const std::string& text) { std::ofstream(folder_ + "/config.json") << text; }
   void start(rlim_t descriptors = 0, int log = -1) {
     char name[] = "/tmp/elmcleat-test-XXXXXX";
-    if (folder_.empty()) folder_ = mkdtemp(name);
+    if (folder_.empty())
+      folder_ = mkdtemp(name);
     configure(config.dump());
-    if (!gateway.empty()) own(gateway);
+    if (!gateway.empty())
+      own(gateway);
     pid_ = fork();
     if (pid_ == 0) {
       setenv("PROXY_CONFIG", (folder_ + "/config.json").c_str(), 1);
       unsetenv("PROXY_LISTEN"), unsetenv("PROXY_NAME"), unsetenv("ELMCLEAT_LOG");
-      if (log < 0) log = open((folder_ + "/log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+      if (log < 0)
+        log = open((folder_ + "/log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
       dup2(log, 2), dup2(log, 1);
       prctl(PR_SET_PDEATHSIG, SIGKILL);  // it must not outlive a test that fails
       rlimit limit{descriptors, descriptors};
-      if (descriptors > 0) setrlimit(RLIMIT_NOFILE, &limit);
+      if (descriptors > 0)
+        setrlimit(RLIMIT_NOFILE, &limit);
       std::string own = folder_ + "/gateway.json";
       if (!gateway.empty())
         execl(ELMCLEAT, ELMCLEAT, "--gateway", own.c_str(), "--log-format", "json", nullptr);
-      else execl(ELMCLEAT, ELMCLEAT, nullptr);
+      else
+        execl(ELMCLEAT, ELMCLEAT, nullptr);
       _exit(99);
     }
   }
@@ -429,7 +458,8 @@
   long peakMb() const {  // the most memory it has held
     std::ifstream file("/proc/" + std::to_string(pid_) + "/status");
     for (std::string word; file >> word;)
-      if (long kb = 0; word == "VmHWM:" && file >> kb) return kb / 1024;
+      if (long kb = 0; word == "VmHWM:" && file >> kb)
+        return kb / 1024;
     return -1;
   }
   std::vector<pid_t> threads(const std::string& name = "") const {  // of that name; empty: all
@@ -437,7 +467,8 @@
     for (auto& task : std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/task")) {
       std::string called;
       std::ifstream(task.path() / "comm") >> called;
-      if (name.empty() || called == name) found.push_back(std::stoi(task.path().filename()));
+      if (name.empty() || called == name)
+        found.push_back(std::stoi(task.path().filename()));
     }
     return found;
   }
@@ -448,7 +479,8 @@
   int status() {  // of its end: the exit status, or 1000 and the signal that ended it
     for (double end = now() + kWait / 1e3; now() < end; pause(0.005)) {
       int status = 0;
-      if (waitpid(pid_, &status, WNOHANG) != pid_) continue;
+      if (waitpid(pid_, &status, WNOHANG) != pid_)
+        continue;
       pid_ = -1;
       return WIFEXITED(status) ? WEXITSTATUS(status) : 1000 + WTERMSIG(status);
     }
@@ -461,7 +493,8 @@
   }
   bool logs(const std::string& text) {  // before long
     for (double end = now() + kWait / 1e3; now() < end; pause(0.01))
-      if (log().find(text) != std::string::npos) return true;
+      if (log().find(text) != std::string::npos)
+        return true;
     return false;
   }
   std::unique_ptr<Peer> client() {
@@ -517,7 +550,8 @@
 std::string answer(Peer& client) {  // status and body
   std::string head = client.until("\r\n\r\n");
   size_t length = head.find("Content-Length: ");
-  if (length == std::string::npos) return "none";
+  if (length == std::string::npos)
+    return "none";
   return head.substr(9, 3) + " " + client.bytes(std::stoul(head.substr(length + 16)));
 }
 const std::string kServed = R"(200 {"records":[["a","b","c"]]})", kBusy = R"(503 {"problem":"Busy"})",
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -6,7 +6,8 @@
   Stage stage(1);
   auto client = stage.service.client();
   std::string statement = "SELECT 'x\r\n' FROM sales_17.t";
-  for (char c : post(1, "load", 6000, kToken + kKey, statement)) client->write({c});
+  for (char c : post(1, "load", 6000, kToken + kKey, statement))
+    client->write({c});
   Line send = stage.engines.next();
   CHECK_EQ(send.verb + " " + send.id, "GET " + idOf(1));
   CHECK(send.fields.starts_with("cls=load,limit="));
@@ -107,7 +108,8 @@
   third->write("DELETE /do/quick HTTP/1.1\r\nReq-Id: " + idOf(2) + "\r\n\r\n");
   CHECK_EQ(answer(*third), "200 {}");
   CHECK(other->ended());
-  for (auto* line : {&closed, &deleted}) line->answer("HIT", "fetches=2", "a\tb\tc\n");
+  for (auto* line : {&closed, &deleted})
+    line->answer("HIT", "fetches=2", "a\tb\tc\n");
   CHECK_EQ(stage.engines.next().verb, "CLOSE");
   CHECK_EQ(stage.engines.next().verb, "CLOSE");
   third->write("DELETE /do/" + idOf(2) + " HTTP/1.1\r\n\r\n");
@@ -194,7 +196,8 @@
 TEST_CASE("a change log that tells nothing before it breaks off is asked again, but not without a pause") {
   Stage stage(1);
   int asked = 0;
-  for (double end = now() + 0.5; now() < end; ++asked) stage.service.follower()->close();
+  for (double end = now() + 0.5; now() < end; ++asked)
+    stage.service.follower()->close();
   CHECK_LT(asked, 10);
   CHECK_GT(asked, 2);
 }
@@ -363,7 +366,8 @@
   }
   client->write(post(9));
   Line send = engines.next();
-  while (send.verb == "LOAD") send.answer("SICK"), send = engines.next();
+  while (send.verb == "LOAD")
+    send.answer("SICK"), send = engines.next();
   send.hit();
   CHECK_EQ(answer(*client), kServed);
   CHECK_EQ(service.log().find("garbled"), std::string::npos);
@@ -381,7 +385,8 @@
     client->write(post(id, "quick", 6000, "", "SELECT 1 FROM sales_" + std::to_string(id) + ".t"));
     Line send = stage.engines.next();
     std::string text = nonsense;
-    if (text.starts_with("%s")) text.replace(0, 2, send.id);
+    if (text.starts_with("%s"))
+      text.replace(0, 2, send.id);
     send.from->write(text);
     CHECK(send.from->ended());
     stage.engines.next().hit();
@@ -409,7 +414,8 @@
   again.hit();
   CHECK_EQ(answer(*client), kServed);
   std::string endless;
-  for (int i = 0; i < 100; ++i) endless += stray;
+  for (int i = 0; i < 100; ++i)
+    endless += stray;
   send.from->write(endless);
   CHECK(send.from->ended());
 }
@@ -425,7 +431,8 @@
     double from = now();
     std::string text = part;
     send.from->write(text.replace(0, 2, send.id));
-    while (send.from->more()) send.from->in.clear();  // it may ask for a page
+    while (send.from->more())
+      send.from->in.clear();  // it may ask for a page
     CHECK(send.from->ended());
     CHECK_MESSAGE(now() - from < 0.6, part);  // far sooner than its time-out
     Line further = stage.engines.next();
@@ -437,7 +444,8 @@
 }
 
 TEST_CASE(
-    "who says nothing is closed within 3 s, half a request is answered 408 first; who has asked may idle longer") {
+    "who says nothing is closed within 3 s, half a request is answered 408 first; who has asked may idle "
+    "longer") {
   Stage stage(1);
   auto asked = stage.service.client(), silent = stage.service.client(), half = stage.service.client(),
        body = stage.service.client(), noise = stage.service.client();
@@ -448,9 +456,12 @@
   body->write(post(1).substr(0, post(1).size() - 3));
   noise->write("\x16\x03\x01\x02");
   pause(1);
-  for (auto* one : {&half, &noise}) (*one)->write("x");  // drop by drop is not sooner whole
-  for (auto* one : {&half, &body, &noise}) CHECK_EQ(answer(**one).substr(0, 3), "408");
-  for (auto* one : {&silent, &half, &body, &noise}) CHECK((*one)->ended());
+  for (auto* one : {&half, &noise})
+    (*one)->write("x");  // drop by drop is not sooner whole
+  for (auto* one : {&half, &body, &noise})
+    CHECK_EQ(answer(**one).substr(0, 3), "408");
+  for (auto* one : {&silent, &half, &body, &noise})
+    CHECK((*one)->ended());
   CHECK_LT(now() - from, 3.0);
   pause(1.5);
   asked->write("GET /check HTTP/1.1\r\n\r\n");
@@ -460,7 +471,8 @@
 TEST_CASE("a flood of clients leaves room for usual ones, and the engines theirs") {
   Stage stage(1, 96);  // 48 of them for clients
   std::list<std::unique_ptr<Peer>> flood;
-  for (int i = 0; i < 200; ++i) flood.push_back(stage.service.client());
+  for (int i = 0; i < 200; ++i)
+    flood.push_back(stage.service.client());
   auto client = stage.service.client();
   client->write(post(1));
   stage.engines.next().hit();
@@ -492,7 +504,8 @@
   client->write("POST /do/quick HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
   CHECK_EQ(answer(*client).substr(0, 3), "413");
   std::string part(1 << 20, 'x');
-  for (int i = 0; i < 20; ++i) client->write(part);
+  for (int i = 0; i < 20; ++i)
+    client->write(part);
   other->write(post(1));
   stage.engines.next().hit();
   CHECK_EQ(answer(*other), kServed);
@@ -623,7 +636,8 @@
   busy->write(post(1));
   Line send = engines.next();
   std::list<std::unique_ptr<Peer>> idle;
-  for (int i = 0; i < 40; ++i) idle.push_back(service.client());
+  for (int i = 0; i < 40; ++i)
+    idle.push_back(service.client());
   auto client = service.client();
   client->write("GET /check HTTP/1.1\r\n\r\n");
   CHECK_EQ(answer(*client), "200 {}");
@@ -631,14 +645,16 @@
   CHECK_EQ(answer(*busy), kServed);
 
   // Parts of requests make way as well; a whole one that we have not read yet does not.
-  for (int i = 0; i < 40; ++i) idle.push_back(service.client()), idle.back()->write("POST /do/qu");
+  for (int i = 0; i < 40; ++i)
+    idle.push_back(service.client()), idle.back()->write("POST /do/qu");
   client = service.client();
   client->write("GET /check HTTP/1.1\r\n\r\n");
   CHECK_EQ(answer(*client), "200 {}");
   service.kill(SIGSTOP);
   pause(0.05);
   client->write("GET /check HTTP/1.1\r\n\r\n");
-  for (int i = 0; i < 40; ++i) idle.push_back(service.client());
+  for (int i = 0; i < 40; ++i)
+    idle.push_back(service.client());
   service.kill(SIGCONT);
   CHECK_EQ(answer(*client), "200 {}");
 }
@@ -671,7 +687,8 @@
       std::string table = "SELECT 1 FROM sales_" + std::to_string(number) + ".t";  // spreads over the engines
       clients.back()->write(post(++number, "quick", 6000, "", table));
     }
-    for (auto& client : clients) served += answer(*client) == kServed;
+    for (auto& client : clients)
+      served += answer(*client) == kServed;
     most = std::max(most, service.descriptors());
   }
   CHECK_EQ(served, 30 * 80);
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -29,14 +29,17 @@
 
 TEST_CASE("what moves to a tenth of the members is usable there within 2 s, and again by all later") {
   Lending fleet(terms(100, {100, 30}), 3);
-  for (int i = 0; i < 100; ++i) fleet.want(i, 0, 0.9), fleet.want(i, 1, 0.2);
+  for (int i = 0; i < 100; ++i)
+    fleet.want(i, 0, 0.9), fleet.want(i, 1, 0.2);
   fleet.run(10);
   CHECK_GT(fleet.used(0), 89.9);
-  for (int i = 0; i < 100; ++i) fleet.want(i, 0, i < 10 ? 20 : 0), fleet.want(i, 1, i >= 90 ? 6 : 0);
+  for (int i = 0; i < 100; ++i)
+    fleet.want(i, 0, i < 10 ? 20 : 0), fleet.want(i, 1, i >= 90 ? 6 : 0);
   fleet.run(12);
   CHECK_GT(fleet.used(0), 97);  // all but what the others keep
   CHECK_GT(fleet.used(1), 0.97 * 30);
-  for (int i = 0; i < 100; ++i) fleet.want(i, 0, 0.9);
+  for (int i = 0; i < 100; ++i)
+    fleet.want(i, 0, 0.9);
   fleet.run(12 + kOver + 0.5);
   CHECK_GT(fleet.used(0), 88);
   CHECK_EQ(fleet.broken(), "");
@@ -46,7 +49,8 @@
   Lending fleet(terms(90), 5);
   fleet.run(5);
   fleet.part(0, 30, true);
-  for (int i = 0; i < 90; ++i) fleet.want(i, 0, i >= 30 && i < 39 ? 20 : 0);
+  for (int i = 0; i < 90; ++i)
+    fleet.want(i, 0, i >= 30 && i < 39 ? 20 : 0);
   fleet.run(8 + kOver);
   CHECK_GT(fleet.used(0), 60);
   CHECK_EQ(fleet.broken(), "");
@@ -79,7 +83,8 @@
   fleet.run(6.5);
   CHECK_GT(fleet.usable(0, 0), 70);  // its loans hold for now, though nobody remembers them
   fleet.run(6 + kOver + 1);
-  for (int i = 1; i < 4; ++i) CHECK_GT(fleet.usable(i, 0), 24);
+  for (int i = 1; i < 4; ++i)
+    CHECK_GT(fleet.usable(i, 0), 24);
   CHECK_EQ(fleet.broken(), "");
 }
 
@@ -169,9 +174,11 @@
     REQUIRE_EQ(fleet.broken(), "");
     for (int a = 0; a < count; ++a) {
       fleet.pause(a, false);
-      if (!fleet.runs(a)) fleet.start(a);
+      if (!fleet.runs(a))
+        fleet.start(a);
       fleet.want(a, 0, a ? 0 : 200), fleet.want(a, 1, a ? 0 : 200);
-      for (int b = 0; b < count; ++b) fleet.cut(a, b, false);
+      for (int b = 0; b < count; ++b)
+        fleet.cut(a, b, false);
     }
     fleet.loss = fleet.copies = fleet.lateShare = 0;
     fleet.run(fleet.now() + 2 * kOver + 6);
--- a/tests/threads_test.cpp
+++ b/tests/threads_test.cpp
@@ -20,13 +20,15 @@
   CHECK_EQ(latest.get(), nullptr);
   constexpr uint64_t kCount = 100'000;
   std::thread writer([&] {
-    for (uint64_t i = 1; i <= kCount; ++i) latest.put(std::make_unique<const Pair>(Pair{i, ~i}));
+    for (uint64_t i = 1; i <= kCount; ++i)
+      latest.put(std::make_unique<const Pair>(Pair{i, ~i}));
   });
   uint64_t last = 0;
   bool whole = true, onward = true;
   while (last < kCount) {
     const Pair* pair = latest.get();
-    if (!pair) continue;
+    if (!pair)
+      continue;
     whole = whole && pair->two == ~pair->one, onward = onward && pair->one >= last;
     last = pair->one;
   }
@@ -50,7 +52,8 @@
   auto until = [&](size_t wanted) {
     for (double end = now() + 8; now() < end; pause(0.01)) {
       info() << "the other thread writes as well";  // to the same log, at the same time
-      if (there(first) == wanted) return true;
+      if (there(first) == wanted)
+        return true;
     }
     return false;
   };
@@ -78,7 +81,8 @@
   auto look = [&](Control& control, double want, bool heeds) {  // as a traffic thread does
     const Told* told = control.usable();
     control.want({want});
-    if (heeds) control.heeded(told->members.number);
+    if (heeds)
+      control.heeded(told->members.number);
     return told->usable[0].at(clock.now());
   };
   double most = 0;
--- a/tests/view_cases_test.cpp
+++ b/tests/view_cases_test.cpp
@@ -16,7 +16,8 @@
         after(planOf(kUsers, 24, 4), kDispatchers + 1, i);
     before.whole(rows), after.whole(rows);
     int here = 0;
-    for (auto& [id, told] : before.engines) here += !after.engines.contains(id);
+    for (auto& [id, told] : before.engines)
+      here += !after.engines.contains(id);
     for (auto& [id, told] : after.engines)
       gained += told.row.place.has_value() && !before.engines.contains(id);
     lost += here, most = std::max(most, here);
@@ -35,18 +36,21 @@
   Plan plan{kUsers, 50, 4, 0.5, 30};
   Dispatcher one(plan, kDispatchers, 7);
   Model model{plan, kDispatchers, 7};
-  for (auto& row : enginesOf(kEngines)) model.list[row.row.id] = row;
+  for (auto& row : enginesOf(kEngines))
+    model.list[row.row.id] = row;
   one.whole(enginesOf(kEngines));
   size_t before = one.engines.size();
   CHECK_EQ(one.view.figures().reach, kUsers);
   for (auto& [id, told] : one.engines)
-    if (id % 3) one.view.rests(id, true), model.unfit.insert(id);
+    if (id % 3)
+      one.view.rests(id, true), model.unfit.insert(id);
   CHECK_EQ(one.view.wakes(), kBegin);
   one.take(one.view.tick(kBegin));
   CHECK_EQ(model.broken(one, kBegin, true), "");
   CHECK_GT(one.engines.size(), before);
   size_t wide = one.engines.size();
-  for (uint32_t id : model.unfit) one.view.rests(id, false);
+  for (uint32_t id : model.unfit)
+    one.view.rests(id, false);
   model.unfit.clear();
   one.until(kBegin + 29, [&](double) { CHECK_EQ(one.engines.size(), wide); });
   int reach = one.view.figures().reach;
@@ -74,9 +78,11 @@
   CHECK_EQ(std::ranges::count_if(one.engines, east), 5);
   CHECK_EQ(std::ranges::count_if(one.engines, std::not_fn(east)), others);
   CHECK_LE(one.view.figures().ranked, 1600 + 5);
-  for (auto& row : lost) row.row.state = kIn, row.bornMs = int64_t(kBegin * 1000);
+  for (auto& row : lost)
+    row.row.state = kIn, row.bornMs = int64_t(kBegin * 1000);
   one.changes(lost);  // and back, cold: by the first alone, until they are warm
-  for (auto& [id, told] : one.engines) CHECK((told.bornMs == 0 || told.row.place.has_value()));
+  for (auto& [id, told] : one.engines)
+    CHECK((told.bornMs == 0 || told.row.place.has_value()));
   CHECK_LE(one.view.wakes(), kBegin + kColdTime);
   one.until(kBegin + 100, [](double) {});
   CHECK_EQ(one.view.figures().reach, 10);
@@ -85,7 +91,8 @@
 TEST_CASE("all cold: the first use them, nobody widens, and one line tells who has none") {
   Plan plan{4, 16, 4, 0.5, 30};
   std::vector<Listing> rows;
-  for (uint32_t id = 1; id <= 10; ++id) rows.push_back(engineOf(id, true, true, int64_t(kBegin * 1000)));
+  for (uint32_t id = 1; id <= 10; ++id)
+    rows.push_back(engineOf(id, true, true, int64_t(kBegin * 1000)));
   int users = 0, none = 0;
   for (int i = 0; i < 100; ++i) {
     Dispatcher one(plan, 100, i);
@@ -94,7 +101,8 @@
     auto lines = one.view.lines();
     CHECK_EQ(lines.size(), one.engines.empty() ? 3 : 0);  // any, east, large
     CHECK(one.view.lines().empty());
-    if (!one.engines.empty()) continue;
+    if (!one.engines.empty())
+      continue;
     ++none;
     CHECK_EQ(lines[2].find("view: no-engine-in-view: class large: "), 0);
     CHECK_EQ(lines[1].find(
@@ -105,7 +113,8 @@
     CHECK(one.view.lines().empty());
     for (int round = 0; round < 3; ++round) {  // four, eight, all ten of them
       CHECK(one.view.lines().empty());
-      for (auto& [id, told] : one.engines) one.view.rests(id, true);
+      for (auto& [id, told] : one.engines)
+        one.view.rests(id, true);
       one.until(kBegin + kColdTime, [](double) {});
     }
     CHECK_EQ(one.engines.size(), 10);
@@ -119,13 +128,16 @@
   Plan plan{2, 40, 4, 0.5, 5};
   Dispatcher one(plan, 40, 0);
   std::vector<Listing> rows;
-  for (uint32_t id = 1; id <= 10; ++id) rows.push_back(engineOf(id, true, false));
+  for (uint32_t id = 1; id <= 10; ++id)
+    rows.push_back(engineOf(id, true, false));
   one.whole(rows);
   while (one.engines.size() < 10) {
-    for (auto& [id, told] : one.engines) one.view.rests(id, true);
+    for (auto& [id, told] : one.engines)
+      one.view.rests(id, true);
     one.until(kBegin, [](double) {});
   }
-  for (auto& [id, told] : one.engines) one.view.rests(id, true);
+  for (auto& [id, told] : one.engines)
+    one.view.rests(id, true);
   uint64_t told = one.told;
   one.until(kBegin + 100, [](double) {});
   CHECK_EQ(one.told, told);
@@ -139,16 +151,19 @@
   one.until(kBegin + 200, [](double) {});
   CHECK_EQ(one.view.figures().reach, 2);  // by now it is by what it keeps alone
   CHECK_EQ(one.engines.size(), 10);
-  for (uint32_t id = 11; id <= 1000; ++id) rows.push_back(engineOf(id, true, false));
+  for (uint32_t id = 11; id <= 1000; ++id)
+    rows.push_back(engineOf(id, true, false));
   one.whole(rows, kBegin + 200);  // enough among the first: nothing is kept any more
-  for (auto& [id, near] : one.engines) CHECK_GE(near.row.place.value_or(-1), 0);
+  for (auto& [id, near] : one.engines)
+    CHECK_GE(near.row.place.value_or(-1), 0);
 }
 
 TEST_CASE("what was found unfit is forgotten when it leaves the view") {
   Plan plan{2, 40, 4, 0.5, 5};
   Dispatcher one(plan, 40, 0);
   Model model{plan, 40, 0};
-  for (auto& row : enginesOf(40)) model.put(row);
+  for (auto& row : enginesOf(40))
+    model.put(row);
   one.whole(enginesOf(40));
   auto wide = std::ranges::find_if(one.engines, [](auto& told) { return !told.second.row.place; });
   REQUIRE(wide != one.engines.end());
@@ -191,13 +206,15 @@
     CHECK_EQ(one.view.figures().listed, engines);
     uint64_t told = one.told;
     one.whole(rows), one.changes({}), one.take(one.view.tick(kBegin + 1));
-    for (auto& row : rows) row.row.cell = row.row.id % 2 ? 0 : 1;
+    for (auto& row : rows)
+      row.row.cell = row.row.id % 2 ? 0 : 1;
     one.whole(rows);
     CHECK_EQ(one.view.figures().ranked, engines);  // changed rows keep their places
     CHECK_EQ(one.told - told, std::ranges::count_if(one.engines, [](auto& e) { return e.first % 2 == 0; }));
     told = one.told;
     std::vector<Listing> more;
-    for (uint32_t id = 100001; id <= 100010; ++id) more.push_back(engineOf(id, false, false));
+    for (uint32_t id = 100001; id <= 100010; ++id)
+      more.push_back(engineOf(id, false, false));
     one.changes(more);
     CHECK_EQ(one.view.figures().ranked, engines + 10);
     CHECK_LE(one.told - told, 10);
@@ -210,12 +227,15 @@
 TEST_CASE("a list that began short, or was lost, leaves nothing behind when it has grown") {
   Dispatcher one(planOf(8, 32, 8), 400, 5);
   Model model{planOf(8, 32, 8), 400, 5};
-  for (auto& row : enginesOf(4000)) model.put(row);
-  for (uint32_t id = 1; id <= 3; ++id) one.changes({enginesOf(3)[id - 1]});
+  for (auto& row : enginesOf(4000))
+    model.put(row);
+  for (uint32_t id = 1; id <= 3; ++id)
+    one.changes({enginesOf(3)[id - 1]});
   CHECK_EQ(one.view.figures().near, 3);  // of so few all are in view everywhere
   auto rows = enginesOf(30);
   one.whole(rows);
-  for (uint32_t id = 31; id <= 2000; ++id) rows.push_back(engineOf(id, false, false));
+  for (uint32_t id = 31; id <= 2000; ++id)
+    rows.push_back(engineOf(id, false, false));
   one.whole(rows);  // of four large ones the places are still needed
   CHECK_EQ(one.view.figures().ranked, 2000);
   for (int times = 0; times < 2; ++times) {
@@ -257,13 +277,15 @@
   CHECK_EQ(said(3, 2), "");
   CHECK(flawsOf(Plan{}).empty());
   std::string flaws;
-  for (auto& flaw : flawsOf({0, -1, 0, 1.5, 0})) flaws += flaw.key + ": " + flaw.why + "\n";
+  for (auto& flaw : flawsOf({0, -1, 0, 1.5, 0}))
+    flaws += flaw.key + ": " + flaw.why + "\n";
   CHECK_EQ(flaws,
            "users: found 0; allowed is 1 or more\nmostUsers: found -1; allowed is users or more, which is 0\n"
            "least: found 0; allowed is 1 or more\nusablePart: found 1.5; allowed is 0 to 1\n"
            "narrowAfterS: found 0; allowed is more than 0\n");
   std::set<std::string> names;
-  for (size_t i = 0; i < kWrongs; ++i) names.insert(nameOf(Wrong(i)));
+  for (size_t i = 0; i < kWrongs; ++i)
+    names.insert(nameOf(Wrong(i)));
   CHECK(names ==
         std::set<std::string>{"counts-differ", "no-engine-in-view", "ordinal-missing", "ordinal-too-large"});
 }
--- a/tests/view_cold_test.cpp
+++ b/tests/view_cold_test.cpp
@@ -65,7 +65,8 @@
       : number(ordinal), dispatchers(of), seed(chance), off(skew), cold(engine) {}
 
   void open(const std::vector<Listing>& list) {
-    for (; !ends.empty(); ends.pop()) cold.inHand -= ends.top().isCold;
+    for (; !ends.empty(); ends.pop())
+      cold.inHand -= ends.top().isCold;
     works.clear(), held.clear(), gateway.reset(), told = false;
     view = std::make_unique<view::View>(view::Plan{kUsers, 4 * kUsers, 8, 0.5, 30},
                                         settingsOf(dispatchers, number));
@@ -74,22 +75,26 @@
     hear({0, true, list}, ListKind::full);
   }
   void hear(const ListEvent& event, ListKind kind = ListKind::changes) {
-    for (auto& row : event.rows) told |= row.row.id == cold.id && row.bornMs > 0;
+    for (auto& row : event.rows)
+      told |= row.row.id == cold.id && row.bornMs > 0;
     show(view->apply(event, now + off), kind);
   }
   void show(const std::vector<Listing>& changes, ListKind kind) {
     std::vector<NodeRow> rows;
     for (auto& change : changes) {
       NodeRow& row = rows.emplace_back(change.row);
-      if (change.bornMs > 0) row.startedAt = double(change.bornMs) / 1000;
+      if (change.bornMs > 0)
+        row.startedAt = double(change.bornMs) / 1000;
     }
-    if (kind == ListKind::full || !rows.empty()) gateway->list(kind, rows);
+    if (kind == ListKind::full || !rows.empty())
+      gateway->list(kind, rows);
   }
 
   // Every warm engine is overrun by all the others; the cold one says what it has in hand.
   void send(Command& command, uint32_t node, double, double) override {
     double work = works.at(&command);
-    if (node != cold.id || !told) return ends.push({now + 3 * work, now, &command, false});
+    if (node != cold.id || !told)
+      return ends.push({now + 3 * work, now, &command, false});
     ++cold.inHand, cold.landed.push_back({now, work});
     ends.push({cold.end(now, work), now, &command, true});
   }
@@ -100,7 +105,8 @@
   void step(double time, double arrivals, double mean, Pcg32& chance) {
     now = time;
     gateway->at(time + off);
-    if (view->wakes() <= time + off) show(view->tick(time + off), ListKind::changes);
+    if (view->wakes() <= time + off)
+      show(view->tick(time + off), ListKind::changes);
     while (!ends.empty() && ends.top().at <= time) {
       auto [at, sent, command, isCold] = ends.top();
       ends.pop();
@@ -153,12 +159,14 @@
     Listing one;
     one.row = {first + i, "a", "eight", 0, NodeState::inService, {}, {}};
     one.address = {0x7f000001, uint16_t(i + 1)};
-    if (is && i % 100 < (wide ? 60 : 8)) one.bornMs = int64_t(kStart * 1000);
+    if (is && i % 100 < (wide ? 60 : 8))
+      one.bornMs = int64_t(kStart * 1000);
     return one;
   };
   std::vector<Listing> before, after;
   for (uint32_t i = 0; i < kEngines; ++i) {
-    if (i > 0 || !joins) before.push_back(listed(i, false));
+    if (i > 0 || !joins)
+      before.push_back(listed(i, false));
     after.push_back(listed(i, true));
   }
   struct Member {
@@ -176,10 +184,13 @@
   };
   for (int ordinal = 0; ordinal <= kDispatchers; ++ordinal) {
     int of = kDispatchers + (ordinal == kDispatchers || (differ && chance.next() % 2));
-    if (ordinal == kDispatchers && !differ) break;
+    if (ordinal == kDispatchers && !differ)
+      break;
     int place = view::placeOf(cold.id, ordinal, of, 4 * kUsers);
-    if (place < kUsers) add(ordinal, of, false);
-    else if (wide && place < 4 * kUsers && chance.next() % 12 == 0) add(ordinal, of, true);
+    if (place < kUsers)
+      add(ordinal, of, false);
+    else if (wide && place < 4 * kUsers && chance.next() % 12 == 0)
+      add(ordinal, of, true);
   }
   if (twin) {
     auto& one = members[chance.next() % members.size()];
@@ -191,9 +202,12 @@
   for (double time = 100; time < kEnd; time += kStep) {
     for (auto& [its, part, toldAt, restartAt, outside] : members) {
       its->now = time;
-      if (time == 100) its->open(before);
-      if (time >= toldAt) its->gateway->at(time + its->off), its->hear({1, true, after}), toldAt = HUGE_VAL;
-      if (time >= restartAt) its->open(its->told ? after : before), restartAt = HUGE_VAL;
+      if (time == 100)
+        its->open(before);
+      if (time >= toldAt)
+        its->gateway->at(time + its->off), its->hear({1, true, after}), toldAt = HUGE_VAL;
+      if (time >= restartAt)
+        its->open(its->told ? after : before), restartAt = HUGE_VAL;
       size_t had = cold.landed.size();
       its->step(time, rate * part * kStep, mean, chance);
       bool isCold = time + its->off < kEnd;  // by its own clock
@@ -205,9 +219,11 @@
   std::deque<Landed> in;
   for (auto& one : cold.landed) {
     in.push_back(one), window += one.work / mean;
-    for (; in.front().at <= one.at - span; in.pop_front()) window -= in.front().work / mean;
+    for (; in.front().at <= one.at - span; in.pop_front())
+      window -= in.front().work / mean;
     played.worst = std::max(played.worst, window / (n + 2 * std::sqrt(n) + 2));
-    if (one.at >= kUsedFrom && one.at < kUsedTo) sum += one.work / mean;
+    if (one.at >= kUsedFrom && one.at < kUsedTo)
+      sum += one.work / mean;
   }
   played.used = sum / (n * (kUsedTo - kUsedFrom) / span);
   return played;
@@ -218,9 +234,11 @@
 
 void playAll(const std::function<void(int seed, double mean, const Played& played)>& see) {
   auto [first, last] = seedsToPlay();
-  if (!std::getenv("ELMCLEAT_SEEDS")) last = std::min(last, first + 19);  // 2,000 by hand: docs/laboratory.md
+  if (!std::getenv("ELMCLEAT_SEEDS"))
+    last = std::min(last, first + 19);  // 2,000 by hand: docs/laboratory.md
   for (double mean : kMeans)
-    for (int seed = first; seed <= last; ++seed) see(seed, mean, play(uint64_t(seed), mean));
+    for (int seed = first; seed <= last; ++seed)
+      see(seed, mean, play(uint64_t(seed), mean));
 }
 
 }  // namespace
@@ -243,7 +261,8 @@
   playAll([&](int, double mean, const Played& played) { used[mean].push_back(played.used); });
   for (auto& [mean, parts] : used) {
     double all = 0;
-    for (double part : parts) all += part / double(parts.size());
+    for (double part : parts)
+      all += part / double(parts.size());
     MESSAGE(mean << " s a command: " << all << " used in the mean of " << parts.size() << " seeds, "
                  << *std::ranges::min_element(parts) << " at least");
     CHECK_GE(all, 0.5);
--- a/tests/view_scene.h
+++ b/tests/view_scene.h
@@ -42,13 +42,15 @@
 }
 inline std::vector<Listing> enginesOf(uint32_t count) {  // a quarter east, an eighth large
   std::vector<Listing> rows;
-  for (uint32_t id = 1; id <= count; ++id) rows.push_back(engineOf(id, id % 4 == 0, id % 8 == 1));
+  for (uint32_t id = 1; id <= count; ++id)
+    rows.push_back(engineOf(id, id % 4 == 0, id % 8 == 1));
   return rows;
 }
 
 inline int placeBySorting(uint32_t id, int ordinal, int dispatchers) {
   std::vector<std::pair<uint64_t, int>> order;
-  for (int i = 0; i < dispatchers; ++i) order.push_back({~weightOf(id, uint32_t(i)), i});
+  for (int i = 0; i < dispatchers; ++i)
+    order.push_back({~weightOf(id, uint32_t(i)), i});
   std::ranges::sort(order);
   return int(std::ranges::find(order, ordinal, &std::pair<uint64_t, int>::second) - order.begin());
 }
@@ -63,8 +65,10 @@
     told += changes.size();
     for (auto& change : changes) {
       uint32_t id = change.row.id;
-      if (change.row.state != kGone) engines.insert_or_assign(id, change);
-      else if (engines.erase(id) == 0) throw std::logic_error("told as gone, and never told before");
+      if (change.row.state != kGone)
+        engines.insert_or_assign(id, change);
+      else if (engines.erase(id) == 0)
+        throw std::logic_error("told as gone, and never told before");
     }
   }
   void whole(const std::vector<Listing>& rows, double now = kBegin) {
@@ -77,7 +81,8 @@
   template <class After>
   void until(double end, After&& after) {
     for (int steps = 0; view.wakes() <= end; ++steps) {
-      if (steps > 2000) throw std::logic_error("wakes without an end");
+      if (steps > 2000)
+        throw std::logic_error("wakes without an end");
       double now = view.wakes();
       take(view.tick(now)), after(now);
     }
@@ -86,7 +91,8 @@
   std::set<uint32_t> inService() const {
     std::set<uint32_t> ids;
     for (auto& [id, change] : engines)
-      if (change.row.state == kIn) ids.insert(id);
+      if (change.row.state == kIn)
+        ids.insert(id);
     return ids;
   }
 };
@@ -101,14 +107,16 @@
 
   void put(const Listing& row) {  // or take away; who starts anew is fit
     auto [at, fresh] = latest.try_emplace(row.row.id, row);
-    if (at->second.bornMs != row.bornMs || at->second.address != row.address) unfit.erase(row.row.id);
+    if (at->second.bornMs != row.bornMs || at->second.address != row.address)
+      unfit.erase(row.row.id);
     at->second = row;
     row.row.state == kGone ? void(list.erase(row.row.id)) : void(list.insert_or_assign(row.row.id, row));
   }
   int base() const { return std::min(plan.users, dispatchers); }
   int placeOf(uint32_t id) {
     auto [at, fresh] = places.try_emplace(id, 0);
-    if (fresh) at->second = placeBySorting(id, ordinal, dispatchers);
+    if (fresh)
+      at->second = placeBySorting(id, ordinal, dispatchers);
     return at->second;
   }
   static bool cold(const Listing& one, double now) {
@@ -120,7 +128,8 @@
   }
   int boundOf(int which) const {
     int count = countOf(which), wide = 1;
-    while (count > 0 && wide * count < 2 * dispatchers * plan.least) wide *= 2;
+    while (count > 0 && wide * count < 2 * dispatchers * plan.least)
+      wide *= 2;
     return std::min(dispatchers, std::max(plan.mostUsers, wide));
   }
   int needOf(int which) const {
@@ -140,31 +149,40 @@
       bool in = is.engines.contains(id), draining = one.row.state == kDraining;
       int place = placeOf(id);
       auto at = " engine " + std::to_string(id) + " at place " + std::to_string(place);
-      if (place < base() && !in) return "missing:" + at;
-      if (!in) continue;
+      if (place < base() && !in)
+        return "missing:" + at;
+      if (!in)
+        continue;
       auto& told = is.engines.at(id);
       if (told.row.place.value_or(-1) != (place < base() ? place : -1))
         return "told with another place:" + at;
       if (told.address != one.address || told.bornMs != one.bornMs || told.row.zone != one.row.zone ||
           told.row.state != one.row.state)
         return "told otherwise than listed:" + at;
-      if (place < base() || draining) continue;
-      if (cold(one, now)) return "cold and out of the first:" + at;
+      if (place < base() || draining)
+        continue;
+      if (cold(one, now))
+        return "cold and out of the first:" + at;
       bool allowed = false, inOrder = false, needed = false;
       for (int which = 0; which < kClasses; ++which) {
-        if (!serves(which, one)) continue;
+        if (!serves(which, one))
+          continue;
         allowed |= place < boundOf(which), needed |= usableBefore(which, place, now) < needOf(which);
         inOrder |= std::ranges::all_of(list, [&](auto& other) {
           return !serves(which, other.second) || other.second.row.state != kIn || cold(other.second, now) ||
                  placeOf(other.first) > place || is.engines.contains(other.first);
         });
       }
-      if (!allowed) return "over the bound:" + at;
-      if (!inOrder) return "nearer ones left out:" + at;
-      if (settled && !needed) return "not needed:" + at;
+      if (!allowed)
+        return "over the bound:" + at;
+      if (!inOrder)
+        return "nearer ones left out:" + at;
+      if (settled && !needed)
+        return "not needed:" + at;
     }
     for (auto& [id, told] : is.engines)
-      if (!list.contains(id)) return "not listed: " + std::to_string(id);
+      if (!list.contains(id))
+        return "not listed: " + std::to_string(id);
     for (int which = 0; which < kClasses; ++which) {
       int usable = 0;
       for (auto& [id, told] : is.engines)
--- a/tests/view_test.cpp
+++ b/tests/view_test.cpp
@@ -33,10 +33,12 @@
   }));
   std::vector<int> first(100);  // and none is favoured, with ids and ordinals that count up
   for (uint32_t id = 0; id < 20000; ++id)
-    for (int i = 0; i < 100; ++i) first[size_t(i)] += placeOf(id, i, 100, 1) == 0;
+    for (int i = 0; i < 100; ++i)
+      first[size_t(i)] += placeOf(id, i, 100, 1) == 0;
   int both = 0;  // nor does one follow from another: 2,000 engines, 99 pairs, a hundredth of them by chance
   for (uint32_t id = 0; id < 2000; ++id)
-    for (int i = 0; i < 99; ++i) both += placeOf(id, i + 1, 100, 10) < 10 && placeOf(id + 1, i, 100, 10) < 10;
+    for (int i = 0; i < 99; ++i)
+      both += placeOf(id, i + 1, 100, 10) < 10 && placeOf(id + 1, i, 100, 10) < 10;
   CHECK_LT(std::abs(both - 1980), 5 * std::sqrt(1980));
   auto [least, most] = std::ranges::minmax(first);
   CHECK_GT(least, 200 - 5 * std::sqrt(200));
@@ -60,23 +62,29 @@
       for (size_t e = 0; e < ids.size(); ++e)  // a fifth is cold
         if (known[e])
           model.list[ids[e]] = engineOf(ids[e], ids[e] % 2, ids[e] % 3 == 0, ids[e] % 5 ? 0 : born);
-      for (auto& [id, row] : model.list) one.changes({row}), listers[id].insert(i);
-      for (size_t e = 0; e < ids.size(); e += 2) one.view.rests(ids[e], true);
+      for (auto& [id, row] : model.list)
+        one.changes({row}), listers[id].insert(i);
+      for (size_t e = 0; e < ids.size(); e += 2)
+        one.view.rests(ids[e], true);
       one.take(one.view.tick(kBegin));
       for (auto& [id, told] : one.engines) {
         ++all[id];
-        if (told.row.place) RC_ASSERT(users[id].insert(*told.row.place).second);
+        if (told.row.place)
+          RC_ASSERT(users[id].insert(*told.row.place).second);
         RC_ASSERT((told.row.place || id % 5 != 0));  // cold
       }
-      for (int which = 0; which < kClasses; ++which) bound = std::max(bound, model.boundOf(which));
+      for (int which = 0; which < kClasses; ++which)
+        bound = std::max(bound, model.boundOf(which));
     }
     int first = std::min(plan.users, dispatchers);
     for (auto& [id, by] : listers) {
       std::set<int> should;
       for (int i : by)
-        if (int place = placeBySorting(id, i, dispatchers); place < first) should.insert(place);
+        if (int place = placeBySorting(id, i, dispatchers); place < first)
+          should.insert(place);
       RC_ASSERT(users[id] == should);
-      if (int(by.size()) == dispatchers) RC_ASSERT(int(should.size()) == first);
+      if (int(by.size()) == dispatchers)
+        RC_ASSERT(int(should.size()) == first);
       RC_ASSERT(all[id] <= bound);
     }
   }));
@@ -106,8 +114,10 @@
             return known.first > id + 20 || known.first % 9 == uint32_t(way);
           });
           for (uint32_t more = id; more < id + uint32_t(way) * 3; ++more)
-            if (!model.list.contains(more)) model.put(engineOf(more, more % 3 == 0, more % 4 == 0));
-          for (auto& [known, listing] : model.list) rows.push_back(listing);
+            if (!model.list.contains(more))
+              model.put(engineOf(more, more % 3 == 0, more % 4 == 0));
+          for (auto& [known, listing] : model.list)
+            rows.push_back(listing);
           std::ranges::reverse(rows);
           if (!rows.empty())
             rows.insert(rows.begin(), engineOf(rows[0].row.id, false, true, 99));  // not the last
@@ -154,12 +164,14 @@
     }
     one.until(now + 500, sound);
     RC_ASSERT(model.broken(one, now + 500, true) == "");
-    for (auto& [id, told] : one.engines) one.view.rests(id, false);
+    for (auto& [id, told] : one.engines)
+      one.view.rests(id, false);
     model.unfit.clear();
     one.until(now + 1000, sound);
     Dispatcher anew(plan, dispatchers, ordinal);
     std::vector<Listing> rows;
-    for (auto& [id, row] : model.list) rows.push_back(row);
+    for (auto& [id, row] : model.list)
+      rows.push_back(row);
     anew.whole(rows, now + 1000);
     RC_ASSERT(model.broken(anew, now + 1000, true) == "");
     RC_ASSERT(anew.inService() == one.inService());
