--- a/bench/budget_bench.cpp
+++ b/bench/budget_bench.cpp
@@ -90,15 +90,15 @@
 }
 
 // The module itself, by its own turns or by the tree: an arrival and a settling, with all that stands held.
-struct Quiet final : Outlet {
+struct Quiet final : ActionSink {
   void send(Command&, uint32_t, double, double) override {}
-  void terms(Command&, int, double) override {}
+  void setPriorityAndMemory(Command&, int, double) override {}
   void cancel(Command&, int) override {}
   void shed(Command&, double) override {}
   void fail(Command&) override {}
   void probe(uint32_t) override {}
-  void followList() override {}
-  void wake(double) override {}
+  void requestEngineList() override {}
+  void scheduleWakeUp(double) override {}
   void log(const std::string&) override {}
 };
 
@@ -106,33 +106,33 @@
   size_t teams = size_t(state.range(0)), held = size_t(state.range(1));
   Settings set;
   Profile profile;
-  profile.name = "report", profile.target = 1e6, profile.clientTimeout = 1e6;
+  profile.name = "report", profile.latencyTarget = 1e6, profile.clientTimeout = 1e6;
   set.profiles = {profile};
   for (size_t i = 0; i < teams; ++i)
     set.tenants.push_back({"t" + std::to_string(i), 1.0 / double(teams), 0});
   Plan plan;
   plan.maxNodes = 2 * teams + 16;
   Office office(plan, 1);
-  Quiet outlet;
-  auto gateway = openGateway(set, 5, outlet, budgets ? &office : nullptr);  // without an engine: all is held
+  Quiet actions;
+  auto policy = createPolicy(set, 5, actions, budgets ? &office : nullptr);  // without an engine: all is held
   std::vector<std::shared_ptr<Command>> commands;
   Pcg32 chance(3);
   double now = 0;
   auto arrive = [&] {
     commands.push_back(
-        gateway->take({"report", set.tenants[chance.next() % teams].name, 1, {}, 0.1, 0, 1e6}));
+        policy->submit({"report", set.tenants[chance.next() % teams].name, 1, {}, 0.1, 0, 1e6}));
   };
-  gateway->at(now);
+  policy->advanceTo(now);
   for (size_t i = 0; i < held; ++i)
     arrive();
-  gateway->settle();
+  policy->decide();
   for (auto _ : state) {
     now += 1e-10;  // no sweep: that one looks at all that is held, twenty times a second
-    gateway->at(now);
+    policy->advanceTo(now);
     arrive();
-    gateway->settle();
+    policy->decide();
   }
-  gateway.reset();
+  policy.reset();
 }
 void moduleByTurns(benchmark::State& state) { module(state, false); }
 void moduleByTree(benchmark::State& state) { module(state, true); }
--- a/bench/engines_bench.cpp
+++ b/bench/engines_bench.cpp
@@ -16,15 +16,15 @@
 
 namespace {
 
-struct Sink : Outlet {
+struct Sink : ActionSink {
   void send(Command& command, uint32_t, double, double) override { sent.push_back(&command); }
-  void terms(Command&, int, double) override {}
+  void setPriorityAndMemory(Command&, int, double) override {}
   void cancel(Command&, int) override {}
   void shed(Command&, double) override { ++ended; }
   void fail(Command&) override { ++ended; }
   void probe(uint32_t) override {}
-  void followList() override {}
-  void wake(double) override {}
+  void requestEngineList() override {}
+  void scheduleWakeUp(double) override {}
   void log(const std::string&) override {}
   std::vector<Command*> sent;
   int ended = 0;
@@ -49,23 +49,24 @@
 Cost costOf(uint32_t engines, const view::Plan* plan) {
   Settings set;
   Profile quick;
-  quick.name = "quick", quick.target = 1, quick.targetStretch = 2, quick.clientTimeout = 5, quick.benefit = 1;
+  quick.name = "quick", quick.latencyTarget = 1, quick.latencyTargetStretch = 2, quick.clientTimeout = 5,
+  quick.benefit = 1;
   set.profiles = {quick, quick, quick};
   set.profiles[1].name = "dear", set.profiles[2].name = "load";
   set.tenants = {{"north", 1, 0}};
-  set.kinds = {{"eight", 8, 16000}};
-  set.gateways = 2400, set.ordinal = 7, set.maxSends = 3, set.coldFrom = 0.4, set.coldTime = 10;
-  set.fallMultiple = 2, set.fallTime = 1, set.probing = true;
+  set.engineKinds = {{"eight", 8, 16000}};
+  set.gatewayCount = 2400, set.ordinal = 7, set.maxSends = 3, set.coldCapacity = 0.4, set.coldDuration = 10;
+  set.coldOverloadFactor = 2, set.coldOverloadWindow = 1, set.probingSupported = true;
   long before = residentKb();
   ListEvent whole{1, true, std::vector<Listing>(engines)};
   for (uint32_t i = 0; i < engines; ++i) {
-    whole.rows[i].row = {i + 1, "a", "eight", 0, NodeState::inService, {}};
+    whole.rows[i].row = {i + 1, "a", "eight", 0, EngineState::inService, {}};
     whole.rows[i].address = {0x0a000001 + i, 4100};
   }
   std::optional<view::View> seen;
   if (plan)
     seen.emplace(*plan, set);
-  std::vector<NodeRow> rows;
+  std::vector<EngineRecord> rows;
   if (seen)
     for (auto& listing : seen->apply(whole, 0))
       rows.push_back(listing.row);
@@ -73,20 +74,20 @@
     for (auto& listing : whole.rows)
       rows.push_back(listing.row);
   Sink sink;
-  auto gateway = openGateway(seen ? seen->local() : set, 7, sink);
+  auto policy = createPolicy(seen ? seen->local() : set, 7, sink);
   double now = 0;
-  gateway->at(now);
-  gateway->list(ListKind::full, rows), gateway->settle();
+  policy->advanceTo(now);
+  policy->updateEngines(EngineListKind::full, rows), policy->decide();
   uint64_t number = 0;
   auto command = [&] {  // seven a second, each answered 20 ms later
-    gateway->at(now += 0.12);
-    auto taken = gateway->take({"quick", "north", ++number % 97, {}, 0.02, 10, 5, {}});
-    gateway->settle();
-    gateway->at(now += 0.02);
-    Bill bill{0.02, 10};
+    policy->advanceTo(now += 0.12);
+    auto taken = policy->submit({"quick", "north", ++number % 97, {}, 0.02, 10, 5, {}});
+    policy->decide();
+    policy->advanceTo(now += 0.02);
+    ResourceUsage usage{0.02, 10};
     for (Command* out : std::exchange(sink.sent, {}))
-      out->outcome(Outcome::answered, 0.02, true, &bill, nullptr);
-    gateway->settle();
+      out->sendFinished(Outcome::answered, 0.02, true, &usage, nullptr);
+    policy->decide();
   };
   int times = rows.size() > 2000 ? 200 : 2000;
   for (int i = 0; i < 200; ++i)
@@ -95,7 +96,7 @@
   std::vector<double> sweeps, commands;
   for (int i = 0; i < times / 4; ++i) {
     double began = seconds();
-    gateway->at(now += 0.05), gateway->settle();
+    policy->advanceTo(now += 0.05), policy->decide();
     sweeps.push_back((seconds() - began) * 1e6);
   }
   for (int i = 0; i < times; ++i) {  // two settles with a sweep each belong to it: taken off below
--- a/bench/view_bench.cpp
+++ b/bench/view_bench.cpp
@@ -279,9 +279,9 @@
 
 void costs(int dispatchers, uint32_t engines) {
   Settings set;
-  set.gateways = dispatchers, set.ordinal = dispatchers / 3, set.coldTime = 30;
+  set.gatewayCount = dispatchers, set.ordinal = dispatchers / 3, set.coldDuration = 30;
   set.profiles.resize(3);
-  set.profiles[1].zonesOpen = {"z3"}, set.profiles[2].kindsOpen = {"k2"};
+  set.profiles[1].allowedZones = {"z3"}, set.profiles[2].allowedKinds = {"k2"};
   ListEvent list{1, true, {}};
   for (uint32_t i = 0; i < engines; ++i) {
     Listing& one = list.rows.emplace_back();
@@ -320,7 +320,7 @@
   });
   double goes = medianOf(501, [&] {
     Listing row = list.rows[++id * 7919 % engines];
-    row.row.state = NodeState::gone;
+    row.row.state = EngineState::removed;
     view.apply({1, false, {row}}, now += 1);
   });
   view.apply(list, now += 1);
@@ -340,10 +340,10 @@
     return std::pair{seconds() - began, changes};
   };
   for (auto& row : zone.rows)
-    row.row.state = NodeState::gone;
+    row.row.state = EngineState::removed;
   auto gone = timed([&] { return view.apply(zone, now += 60).size(); });
   for (auto& row : zone.rows)
-    row.row.state = NodeState::inService, row.bornMs = int64_t(now * 1000) + 60000;
+    row.row.state = EngineState::inService, row.bornMs = int64_t(now * 1000) + 60000;
   auto back = timed([&] { return view.apply(zone, now += 60).size(); });
   auto warm = timed([&] { return view.tick(now += 31).size(); });
   std::printf(
--- a/src/budget/office.cpp
+++ b/src/budget/office.cpp
@@ -20,8 +20,8 @@
     shared_ = std::make_unique<Shared>();
     shared_->rates = fleetRates(tree_.plan());
     shared_->inForce.assign(shared_->rates.size(), -1),
-        shared_->asked.assign(shared_->rates.size(), TimeRing(1));
-    shared_->askedLong.assign(shared_->rates.size(), TimeRing(kLong));
+        shared_->asked.assign(shared_->rates.size(), SlidingWindowSum(1));
+    shared_->askedLong.assign(shared_->rates.size(), SlidingWindowSum(kLong));
     for (size_t i = 0; i < shared_->rates.size(); ++i)
       shared_->byPath[shared_->rates[i].path].push_back(i);
   }
@@ -45,10 +45,10 @@
   std::vector<double> wants;
   for (size_t i = 0; shared_ && i < shared_->rates.size(); ++i) {
     const Node* node = tree_.find(shared_->rates[i].path);
-    double usual = shared_->askedLong[i].sum(now_) / kLong, putBy = 0, held = 0;
+    double usual = shared_->askedLong[i].upperBound(now_) / kLong, putBy = 0, held = 0;
     if (node)
       putBy = (shared_->rates[i].ceiling ? node->cap : node->right).work(now_), held = node->heldWork;
-    wants.push_back(usual + std::max(held + shared_->asked[i].sum(now_) - putBy, 0.0));
+    wants.push_back(usual + std::max(held + shared_->asked[i].upperBound(now_) - putBy, 0.0));
   }
   return wants;
 }
@@ -63,14 +63,14 @@
   return found == entries_.end() ? Estimate{} : waits_.would(found->second->item, now_);
 }
 
-void Office::at(double now) {
+void Office::advanceTo(double now) {
   now_ = std::max(now_, now);  // a clock that steps back is not followed
   waits_.at(now_);
   if (shared_ && now_ >= shared_->changesAt)
     apply();
 }
 
-void Office::take(Command& command, const Arrival& arrival) {
+void Office::add(Command& command, const Arrival& arrival) {
   auto& entry = *(entries_[&command] = std::make_unique<Entry>());
   entry.command = &command;
   entry.item.actor.push_back(arrival.tenant.empty() ? "-" : arrival.tenant);
@@ -81,7 +81,7 @@
   tree_.take(entry.item, now_);
 }
 
-void Office::hold(Command& command, double work, double memoryMb, bool again) {
+void Office::enqueue(Command& command, double work, double memoryMb, bool again) {
   Entry& entry = entryOf(command);
   entry.item.work = work, entry.item.memoryMb = memoryMb;
   if (!entry.told && !entry.begun)
@@ -93,16 +93,16 @@
         shared_->asked[i].add(now_, work), shared_->askedLong[i].add(now_, work);
 }
 
-void Office::unhold(Command& command) { tree_.unhold(entryOf(command).item, now_); }
+void Office::dequeue(Command& command) { tree_.unhold(entryOf(command).item, now_); }
 
-Command* Office::next() {
+Command* Office::selectNext() {
   Item* item = tree_.next(now_);
   return item ? items_.at(item)->command : nullptr;
 }
 
-void Office::lost(Command& command, double wait) { tree_.lost(entryOf(command).item, wait, now_); }
+void Office::postpone(Command& command, double wait) { tree_.lost(entryOf(command).item, wait, now_); }
 
-void Office::started(Command& command) {
+void Office::sendStarted(Command& command) {
   Entry& entry = entryOf(command);
   if (!std::exchange(entry.begun, true)) {
     auto held = waits_.started(entry.item, now_);
@@ -112,9 +112,11 @@
   tree_.started(entry.item, now_);
 }
 
-void Office::ended(Command& command, double billed) { tree_.ended(entryOf(command).item, billed, now_); }
+void Office::sendFinished(Command& command, double billed) {
+  tree_.ended(entryOf(command).item, billed, now_);
+}
 
-void Office::forget(Command& command) {
+void Office::remove(Command& command) {
   auto found = entries_.find(&command);
   if (found == entries_.end())
     return;
@@ -125,9 +127,9 @@
   entries_.erase(found);
 }
 
-bool Office::within(Command& command) { return entryOf(command).item.covered; }
+bool Office::isGuaranteed(Command& command) { return entryOf(command).item.covered; }
 
-GivesWay Office::givesWay() {
+Preemption Office::selectPreemption() {
   Victim victim = tree_.victim(now_);
   return {victim.item ? items_.at(victim.item)->command : nullptr, victim.cancel};
 }
--- a/src/budget/office.h
+++ b/src/budget/office.h
@@ -1,4 +1,4 @@
-// The budgets as the module meets them (Rights): a tree, and waits told by it. Pure; told the time.
+// The budgets as the module meets them (BudgetScheduler): a tree, and waits told by it. Pure; told the time.
 #pragma once
 #include <cmath>
 #include <functional>
@@ -10,11 +10,11 @@
 #include "budget/waits.h"
 #include "policy.h"
 #include "shared/usable.h"
-#include "time_ring.h"
+#include "sliding_window_sum.h"
 
 namespace elmcleat::budget {
 
-class Office final : public Rights {
+class Office final : public BudgetScheduler {
  public:
   // `gateways`: how many share what the plan gives.
   Office(const Plan& plan, int gateways);
@@ -35,19 +35,19 @@
 
   const Tree& tree() const { return tree_; }
 
-  // Rights
-  void at(double now) override;
-  void take(Command& command, const Arrival& arrival) override;
-  void hold(Command& command, double work, double memoryMb, bool again) override;
-  void unhold(Command& command) override;
-  Command* next() override;
-  void lost(Command& command, double wait) override;
-  void started(Command& command) override;
-  void ended(Command& command, double billed) override;
-  void forget(Command& command) override;
-  bool within(Command& command) override;
-  GivesWay givesWay() override;
-  double wakes() override { return tree_.wakes(now_); }
+  // BudgetScheduler
+  void advanceTo(double now) override;
+  void add(Command& command, const Arrival& arrival) override;
+  void enqueue(Command& command, double work, double memoryMb, bool again) override;
+  void dequeue(Command& command) override;
+  Command* selectNext() override;
+  void postpone(Command& command, double wait) override;
+  void sendStarted(Command& command) override;
+  void sendFinished(Command& command, double billed) override;
+  void remove(Command& command) override;
+  bool isGuaranteed(Command& command) override;
+  Preemption selectPreemption() override;
+  double nextWakeUp() override { return tree_.wakes(now_); }
 
  private:
   struct Entry {
@@ -59,8 +59,8 @@
   struct Shared {
     std::vector<FleetRate> rates;
     std::vector<shared::Usable> usable;
-    std::vector<double> inForce;             // cores
-    std::vector<TimeRing> asked, askedLong;  // work, over one second and over ten
+    std::vector<double> inForce;                     // cores
+    std::vector<SlidingWindowSum> asked, askedLong;  // work, over one second and over ten
     std::unordered_map<std::string, std::vector<size_t>> byPath;
     double changesAt = -HUGE_VAL;  // when something of what is usable ends
   };
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -26,12 +26,12 @@
   auto id = host.need<std::string>("host");
   if (id.size() != 10 || !id.starts_with("s-") || !readHex(std::string_view(id).substr(2), one.row.id))
     host.fault("host", "must be s- and 8 hex digits");
-  one.row.state = host.word<NodeState>("health", "in_service",
-                                       {{"in_service", NodeState::inService},
-                                        {"terminating", NodeState::draining},
-                                        {"terminated", NodeState::gone}});
+  one.row.state = host.word<EngineState>("health", "in_service",
+                                         {{"in_service", EngineState::inService},
+                                          {"terminating", EngineState::draining},
+                                          {"terminated", EngineState::removed}});
   // What is gone needs no address.
-  if (one.row.state != NodeState::gone || host.has("dial"))
+  if (one.row.state != EngineState::removed || host.has("dial"))
     one.address = needAddress(host, "dial");
   one.row.zone = host.get<std::string>("site", "");
   one.row.kind = host.get<std::string>("class", "");
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -8,21 +8,23 @@
 Profile readProfile(const Section& row) {
   Profile profile;
   profile.name = row.need<std::string>("name");
-  profile.effect = row.word<Effect>("repeat", "idempotent",
-                                    {{"idempotent", Effect::replayable},
-                                     {"deduplicated", Effect::uniqued},
-                                     {"at_most_once", Effect::nonReplayable}});
-  profile.group =
-      row.word<Group>("group", "all", {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
-  profile.memorySpan = row.seconds("memorySpanUs");
-  profile.target = row.seconds("aimUs");
-  profile.targetStretch = row.get("aimStretch", 0.0);
+  profile.retrySafety = row.word<RetrySafety>("repeat", "idempotent",
+                                              {{"idempotent", RetrySafety::replayable},
+                                               {"deduplicated", RetrySafety::deduplicated},
+                                               {"at_most_once", RetrySafety::nonReplayable}});
+  profile.deduplicationScope = row.word<DeduplicationScope>("group", "all",
+                                                            {{"all", DeduplicationScope::all},
+                                                             {"zone", DeduplicationScope::zone},
+                                                             {"cell", DeduplicationScope::cell}});
+  profile.deduplicationWindow = row.seconds("memorySpanUs");
+  profile.latencyTarget = row.seconds("aimUs");
+  profile.latencyTargetStretch = row.get("aimStretch", 0.0);
   profile.clientTimeout = row.seconds("deadlineUs");
   profile.benefit = row.get("value", 1.0);
-  profile.lateShare = row.get("lateWorth", 0.0);
+  profile.lateBenefitShare = row.get("lateWorth", 0.0);
   profile.ordered = row.get("sequential", false);
-  profile.zonesOpen = row.get("localitiesOpen", Names{});
-  profile.kindsOpen = row.get("flavorsOpen", Names{});
+  profile.allowedZones = row.get("localitiesOpen", Names{});
+  profile.allowedKinds = row.get("flavorsOpen", Names{});
   return profile;
 }
 
@@ -30,7 +32,7 @@
 
 Settings readSettings(const Section& config) {
   Settings settings;
-  settings.gateways = config.get("balancers", 1);
+  settings.gatewayCount = config.get("balancers", 1);
   settings.ordinal = config.get("ordinal", -1);
   settings.zone = config.get<std::string>("zone", "");
   for (auto& row : config.rows("classes"))
@@ -47,43 +49,45 @@
     if (i < threads.size())
       settings.profiles[i].threads = threads[i];
     if (i < loads.size())
-      settings.profiles[i].load = loads[i];
+      settings.profiles[i].bulkLoad = loads[i];
     if (i < yields.size())
-      settings.profiles[i].yields = yields[i];
+      settings.profiles[i].yieldsToBulkLoads = yields[i];
   }
   auto kinds = config.get("flavors", Names{});
   auto cores = specifics.get("kindCores", std::vector<double>{});
   auto memory = specifics.get("memoryByKindMb", std::vector<double>{});
   for (size_t i = 0; i < kinds.size(); ++i)
-    settings.kinds.push_back(
+    settings.engineKinds.push_back(
         {kinds[i], i < cores.size() ? cores[i] : 1.0, i < memory.size() ? memory[i] : 0.0});
-  settings.grants = specifics.get("memoryHeeded", false);
-  settings.priorities = specifics.get("ranksHeeded", false);
-  settings.maxGrantShare = specifics.get("maxGrantShare", 1.0);
-  settings.shortMemory = specifics.word<ShortMemory>(
-      "outOfMemory", "line_up",
-      {{"line_up", ShortMemory::lineUp}, {"cut", ShortMemory::cut}, {"overcommit", ShortMemory::overcommit}});
+  settings.memoryGrantsSupported = specifics.get("memoryHeeded", false);
+  settings.prioritiesSupported = specifics.get("ranksHeeded", false);
+  settings.maxMemoryGrantShare = specifics.get("maxGrantShare", 1.0);
+  settings.memoryShortagePolicy =
+      specifics.word<MemoryShortagePolicy>("outOfMemory", "line_up",
+                                           {{"line_up", MemoryShortagePolicy::queue},
+                                            {"cut", MemoryShortagePolicy::reduceGrant},
+                                            {"overcommit", MemoryShortagePolicy::overcommit}});
 
-  settings.overShareWorth = config.get("overShareWorth", 1.0);
-  settings.crossZoneCharge = config.part("charges").get("crossZone", 0.0);
-  settings.askForList = config.get<std::string>("membershipMode", "pushed") == "on_request";
+  settings.overShareBenefitFactor = config.get("overShareWorth", 1.0);
+  settings.crossZoneCost = config.part("charges").get("crossZone", 0.0);
+  settings.engineListOnRequest = config.get<std::string>("membershipMode", "pushed") == "on_request";
 
   const Section rules = config.part("rules");
-  settings.drainGrace = rules.seconds("drainGraceUs");
-  settings.coldFrom = rules.get("coldFrom", 1.0);
-  settings.coldTime = rules.seconds("coldUs");
-  settings.fallMultiple = rules.get("fallMultiple", 0.0);
-  settings.fallTime = rules.seconds("fallUs");
-  settings.keyQuiet = rules.seconds("keyQuietUs");
-  settings.furtherSpan = rules.seconds("resendSpanUs");
-  settings.furtherFree = rules.get("spareAttempts", 0.0);
-  settings.furtherShare = rules.get("furtherRatio", 0.0);
+  settings.drainGracePeriod = rules.seconds("drainGraceUs");
+  settings.coldCapacity = rules.get("coldFrom", 1.0);
+  settings.coldDuration = rules.seconds("coldUs");
+  settings.coldOverloadFactor = rules.get("fallMultiple", 0.0);
+  settings.coldOverloadWindow = rules.seconds("fallUs");
+  settings.keyQuietPeriod = rules.seconds("keyQuietUs");
+  settings.retryBudgetWindow = rules.seconds("resendSpanUs");
+  settings.retryBudgetMinimum = rules.get("spareAttempts", 0.0);
+  settings.retryBudgetRatio = rules.get("furtherRatio", 0.0);
 
   const Section limits = config.part("limits");
   settings.maxSends = limits.get("maxAttempts", 1);
-  settings.cancel = limits.get("cancel", false);
-  settings.probing = limits.get("probing", false);
-  settings.retryAfter = limits.get("retryAfter", false);
+  settings.cancelSupported = limits.get("cancel", false);
+  settings.probingSupported = limits.get("probing", false);
+  settings.retryAfterSupported = limits.get("retryAfter", false);
   settings.maxRetryAfter = limits.seconds("maxRetryAfterUs");
   return settings;
 }
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -15,20 +15,20 @@
 namespace elmcleat::drill {
 namespace {
 
-using Rows = std::vector<NodeRow>;
+using Rows = std::vector<EngineRecord>;
 
 Outcome readOutcome(const std::string& word) {
   return named<Outcome>(word, {{"delivered", Outcome::answered},
                                {"app_error", Outcome::error},
-                               {"shed", Outcome::full},
-                               {"expired", Outcome::expired},
+                               {"shed", Outcome::overloaded},
+                               {"expired", Outcome::timedOut},
                                {"dial_failed", Outcome::connectFailed},
                                {"dropped", Outcome::reset},
                                {"revoked", Outcome::cancelled},
-                               {"unused", Outcome::unused}});
+                               {"unused", Outcome::notStarted}});
 }
 
-std::optional<Report> readReport(const Json& event) {
+std::optional<LoadReport> readReport(const Json& event) {
   auto usage = event.find("usage");
   if (usage == event.end() || usage->is_null())
     return std::nullopt;
@@ -36,7 +36,7 @@
     auto found = usage->find(name);
     return found == usage->end() || found->is_null() ? std::nullopt : std::optional(found->get<double>());
   };
-  return Report{figure("concurrent"), figure("depth"), figure("load_share"), figure("x0"), figure("x1")};
+  return LoadReport{figure("concurrent"), figure("depth"), figure("load_share"), figure("x0"), figure("x1")};
 }
 
 uint64_t readHex(const std::string& text) {
@@ -51,15 +51,15 @@
   Rows rows;
   for (auto& line : lines) {
     const Section at(line);
-    NodeRow row;
+    EngineRecord row;
     row.id = at.need<uint32_t>("node");
     row.zone = at.get<std::string>("rackZone", "");
     row.kind = at.get<std::string>("type", "");
     row.cell = at.get("unitGroup", 0);
-    row.state = at.word<NodeState>("condition", "in_service",
-                                   {{"in_service", NodeState::inService},
-                                    {"terminating", NodeState::draining},
-                                    {"terminated", NodeState::gone}});
+    row.state = at.word<EngineState>("condition", "in_service",
+                                     {{"in_service", EngineState::inService},
+                                      {"terminating", EngineState::draining},
+                                      {"terminated", EngineState::removed}});
     if (double started = at.seconds("bootTimeUs"); started > 0)
       row.startedAt = started;
     rows.push_back(std::move(row));
@@ -68,16 +68,16 @@
 }
 
 // One instance: the module behind the ids of the wire.
-class Instance : public Outlet {
+class Instance : public ActionSink {
  public:
   Instance(int who, const Json& event, double now) : who_(who), now_(now) {
-    gateway_ = openGateway(readSettings(Section(event.at("config"), "config")),
+    policy_ = createPolicy(readSettings(Section(event.at("config"), "config")),
                            event.at("initSeed").get<uint64_t>(), *this);
   }
 
   void happen(const std::string& kind, const Json& event, const std::map<int, Rows>& pages, double now) {
     now_ = now;
-    gateway_->at(now);
+    policy_->advanceTo(now);
     if (kind == "INBOUND")
       take(event);
     else if (kind == "RESPONSE")
@@ -86,25 +86,25 @@
       note(event);
     else if (kind == "OPENED") {
       if (auto* held = find(event))
-        held->command->opened();
+        held->command->streamingStarted();
     } else if (kind == "WITHDRAWN")
       withdraw(event);
     else if (kind == "ENDPOINTS")
       list(event, pages);
     else if (kind == "SAMPLED") {
       auto report = readReport(event);
-      gateway_->probed(event.at("node").get<uint32_t>(), readOutcome(event.at("result").get<std::string>()),
-                       report ? &*report : nullptr);
+      policy_->probeFinished(event.at("node").get<uint32_t>(),
+                             readOutcome(event.at("result").get<std::string>()), report ? &*report : nullptr);
     }
   }
-  void settle() { gateway_->settle(); }
+  void settle() { policy_->decide(); }
 
   void send(Command& command, uint32_t node, double timeout, double) override {
     Held& held = live_.at(ids_.at(&command));
     ++held.out;
     write("ROUTE", {{"rid", ids_.at(&command)}, {"maxWaitUs", micros(timeout)}, {"node", node}});
   }
-  void terms(Command& command, int priority, double memoryMb) override {
+  void setPriorityAndMemory(Command& command, int priority, double memoryMb) override {
     write("RESOURCES", {{"rid", ids_.at(&command)}, {"rank", priority}, {"memory", memoryMb}});
   }
   void cancel(Command& command, int sendNo) override {
@@ -119,8 +119,8 @@
     finish(command);
   }
   void probe(uint32_t node) override { write("TOUCH", {{"node", node}}); }
-  void followList() override { write("OBSERVE", {{"want", true}}); }
-  void wake(double at) override {
+  void requestEngineList() override { write("OBSERVE", {{"want", true}}); }
+  void scheduleWakeUp(double at) override {
     write("SET_ALARM", {{"alarmTimeUs", std::max(micros(at), micros(now_))}, {"name", "wake"}});
   }
   void log(const std::string& line) override { write("JOURNAL_LINE", {{"line", line}}); }
@@ -168,14 +168,14 @@
     arrival.profile = from.need<std::string>("profile");
     if (auto tenant = event.find("billing"); tenant != event.end() && tenant->is_string())
       arrival.tenant = tenant->get<std::string>();
-    arrival.tables = from.get<uint64_t>("dataGroup", 0);
+    arrival.tableGroup = from.get<uint64_t>("dataGroup", 0);
     if (auto key = from.get<std::string>("table", ""); !key.empty())
-      arrival.key = readHex(key);
-    arrival.work = from.seconds("costUs");
-    arrival.memoryMb = from.get("needMb", 0.0);
-    arrival.timeLeft = from.seconds("expiresInUs");
+      arrival.orderingKey = readHex(key);
+    arrival.estimatedWork = from.seconds("costUs");
+    arrival.estimatedMemoryMb = from.get("needMb", 0.0);
+    arrival.remainingTime = from.seconds("expiresInUs");
     auto rid = from.need<std::string>("rid");
-    auto command = gateway_->take(arrival);
+    auto command = policy_->submit(arrival);
     ids_.emplace(command.get(), rid);
     live_[rid].command = std::move(command);
   }
@@ -185,14 +185,14 @@
       return;
     const Section from(event);
     auto report = readReport(event);
-    std::optional<Bill> bill;
+    std::optional<ResourceUsage> usage;
     if (auto used = from.get<int64_t>("usedUp", 0); used > 0)
-      bill = Bill{static_cast<double>(used / 4096) / 1e3, static_cast<double>(used % 4096) * 4};
+      usage = ResourceUsage{static_cast<double>(used / 4096) / 1e3, static_cast<double>(used % 4096) * 4};
     bool final = from.get("final", false);
     --held->out;
     held->over |= final;
-    held->command->outcome(readOutcome(from.need<std::string>("result")), from.seconds("timeTakenUs"), final,
-                           bill ? &*bill : nullptr, report ? &*report : nullptr);
+    held->command->sendFinished(readOutcome(from.need<std::string>("result")), from.seconds("timeTakenUs"),
+                                final, usage ? &*usage : nullptr, report ? &*report : nullptr);
     drop(*held);
   }
   void note(const Json& event) {
@@ -203,8 +203,9 @@
     int topic = from.need<int>("topic");
     if (topic < 1 || topic > 3)
       return;
-    static constexpr Topic topics[] = {Topic::progress, Topic::spills, Topic::waits};
-    held->command->note(topics[topic - 1], from.get("level", 0.0));
+    static constexpr StatusTopic topics[] = {StatusTopic::progress, StatusTopic::spilling,
+                                             StatusTopic::queued};
+    held->command->statusReported(topics[topic - 1], from.get("level", 0.0));
   }
   void withdraw(const Json& event) {
     Held* held = find(event);
@@ -216,17 +217,19 @@
     drop(*held);
   }
   void list(const Json& event, const std::map<int, Rows>& pages) {
-    auto kind = named<ListKind>(event.at("scope").get<std::string>(), {{"diff", ListKind::changes},
-                                                                       {"snapshot", ListKind::full},
-                                                                       {"disk", ListKind::full},
-                                                                       {"error", ListKind::error}});
+    auto kind =
+        named<EngineListKind>(event.at("scope").get<std::string>(), {{"diff", EngineListKind::delta},
+                                                                     {"snapshot", EngineListKind::full},
+                                                                     {"disk", EngineListKind::full},
+                                                                     {"error", EngineListKind::error}});
     static const Rows none;
-    gateway_->list(kind, kind == ListKind::error ? none : pages.at(event.at("page").get<int>()));
+    policy_->updateEngines(kind,
+                           kind == EngineListKind::error ? none : pages.at(event.at("page").get<int>()));
   }
 
   int who_;
   double now_;
-  std::unique_ptr<Gateway> gateway_;
+  std::unique_ptr<Policy> policy_;
   std::unordered_map<std::string, Held> live_;
   std::unordered_map<const Command*, std::string> ids_;
   std::vector<Command*> ended_;
--- a/src/lab/baseline.h
+++ b/src/lab/baseline.h
@@ -10,32 +10,32 @@
 namespace elmcleat::lab {
 
 // One queue, first in, first out; `random`: each command goes out at once, to any engine in service.
-class Baseline final : public Gateway {
+class Baseline final : public Policy {
  public:
-  Baseline(const Settings& settings, uint64_t seed, Outlet& outlet, bool random)
-      : settings_(settings), chance_(seed), outlet_(outlet), random_(random) {}
-  void at(double now) override { now_ = now; }
-  std::shared_ptr<Command> take(const Arrival& arrival) override {
+  Baseline(const Settings& settings, uint64_t seed, ActionSink& actions, bool random)
+      : settings_(settings), chance_(seed), actions_(actions), random_(random) {}
+  void advanceTo(double now) override { now_ = now; }
+  std::shared_ptr<Command> submit(const Arrival& arrival) override {
     auto one = std::make_shared<One>(*this);
-    one->endsAt = now_ + arrival.timeLeft;
+    one->endsAt = now_ + arrival.remainingTime;
     for (auto& profile : settings_.profiles)
       if (profile.name == arrival.profile)
         one->threads = profile.threads;
     queue_.push_back(one);
     return one;
   }
-  void list(ListKind kind, const std::vector<NodeRow>& rows) override {
-    if (kind == ListKind::error)
+  void updateEngines(EngineListKind kind, const std::vector<EngineRecord>& rows) override {
+    if (kind == EngineListKind::error)
       return;
     for (auto& row : rows) {
-      if (row.state != NodeState::inService)
+      if (row.state != EngineState::inService)
         out_.erase(row.id);
       else
         out_.try_emplace(row.id, 0);
     }
   }
-  void probed(uint32_t, Outcome, const Report*) override {}
-  void settle() override {
+  void probeFinished(uint32_t, Outcome, const LoadReport*) override {}
+  void decide() override {
     while (!queue_.empty()) {
       auto one = queue_.front();
       auto place = best();
@@ -46,27 +46,27 @@
       if (one->over)
         continue;
       if (late) {
-        one->over = true, outlet_.shed(*one, 0);
+        one->over = true, actions_.shed(*one, 0);
         continue;
       }
       one->node = place->first, place->second += one->threads;
-      outlet_.send(*one, place->first, 0, HUGE_VAL);
+      actions_.send(*one, place->first, 0, HUGE_VAL);
     }
-    outlet_.wake(now_ + 0.05);
+    actions_.scheduleWakeUp(now_ + 0.05);
   }
 
  private:
   struct One final : Command {
     explicit One(Baseline& its) : owner(its) {}
-    void opened() override {}
-    void note(Topic, double) override {}
+    void streamingStarted() override {}
+    void statusReported(StatusTopic, double) override {}
     void withdrawn() override { over = true; }
-    void endsBy(double) override {}
-    void outcome(Outcome, double, bool final, const Bill*, const Report*) override {
+    void shortenDeadline(double) override {}
+    void sendFinished(Outcome, double, bool final, const ResourceUsage*, const LoadReport*) override {
       if (auto at = owner.out_.find(node); at != owner.out_.end())
         at->second -= threads;
       if (!over && !final)
-        owner.outlet_.fail(*this);
+        owner.actions_.fail(*this);
       over = true;
     }
     Baseline& owner;
@@ -75,7 +75,7 @@
     double endsAt = 0;
     bool over = false;
   };
-  double cores() const { return settings_.kinds.front().cores / settings_.gateways; }
+  double cores() const { return settings_.engineKinds.front().cores / settings_.gatewayCount; }
   std::map<uint32_t, double>::iterator best() {
     if (out_.empty())
       return out_.end();
@@ -85,7 +85,7 @@
   }
   Settings settings_;
   Pcg32 chance_;
-  Outlet& outlet_;
+  ActionSink& actions_;
   bool random_;
   double now_ = 0;
   std::deque<std::shared_ptr<One>> queue_;
--- a/src/lab/check.cpp
+++ b/src/lab/check.cpp
@@ -42,7 +42,7 @@
           say(1, row.command, row.at, "sent after its answer");
         if (life.out > 0)
           say(2, row.command, row.at, "two sends out at once");
-        if (life.ran > 0 && profile.effect == Effect::nonReplayable)
+        if (life.ran > 0 && profile.retrySafety == RetrySafety::nonReplayable)
           say(2, row.command, row.at, "non-replayable, and sent again after it may have run");
         if (++life.sends > scene.settings.maxSends)
           say(7, row.command, row.at, "more sends than allowed");
@@ -60,7 +60,7 @@
       default:
         if (++life.finals > 1)
           say(1, row.command, row.at, "a second answer");
-        if (row.mark == Mark::shed && life.ran > 0 && profile.effect == Effect::nonReplayable)
+        if (row.mark == Mark::shed && life.ran > 0 && profile.retrySafety == RetrySafety::nonReplayable)
           say(2, row.command, row.at, "non-replayable, has run, and was shed");
         if (row.at > asked.timeoutAt + kGrace)
           say(1, row.command, row.at, "answered after its client's end");
--- a/src/lab/figures.cpp
+++ b/src/lab/figures.cpp
@@ -88,7 +88,7 @@
     const Asked& asked = record.asked[row.command];
     const Asked& first = record.asked[asked.first];
     const Profile& profile = profiles[asked.profile];
-    double worth = row.at <= first.targetAt ? 1 : profile.lateShare;
+    double worth = row.at <= first.targetAt ? 1 : profile.lateBenefitShare;
     best[asked.first] = std::max(best[asked.first], worth);
     if (first.at >= scene.from && first.timeoutAt <= scene.lasts)
       teams[asked.team].work += asked.work;
--- a/src/lab/gossip.cpp
+++ b/src/lab/gossip.cpp
@@ -157,14 +157,14 @@
   if (bytes.size() > kMostBytes && broken_.empty())
     broken_ = "a message of " + std::to_string(bytes.size()) + " bytes";
   const Weather& link = regions_ && regionOf(from) != regionOf(to.member) ? between : weather;
-  int copies = 1 + (chance_.unit() < link.copies);
+  int copies = 1 + (chance_.uniform() < link.copies);
   for (int i = 0; i < copies; ++i) {
-    if (!stream && chance_.unit() < link.loss)
+    if (!stream && chance_.uniform() < link.loss)
       continue;
-    double way = chance_.between(link.least, link.most) * (stream ? 3 : 1) + to.slow;
+    double way = chance_.uniformBetween(link.least, link.most) * (stream ? 3 : 1) + to.slow;
     int place = to.member;
     // Who is reached as a member, where two have its name, is a matter of chance.
-    bool other = !seconds_.empty() && seconds_[0].member == place && chance_.unit() < 0.5;
+    bool other = !seconds_.empty() && seconds_[0].member == place && chance_.uniform() < 0.5;
     bool counts = stream && i == 0;  // a copy is no second stream
     events_.at(now_ + way, [this, from, place, other, counts, bytes] {
       if (counts)
--- a/src/lab/lending.cpp
+++ b/src/lab/lending.cpp
@@ -13,7 +13,7 @@
       hosts_(size_t(terms_.members)),
       cut_(size_t(terms_.members), std::vector<bool>(size_t(terms_.members))) {
   for (auto& host : hosts_) {
-    host.offset = chance_.between(-1e6, 1e6), host.speed = 1 + chance_.between(-drift, drift);
+    host.offset = chance_.uniformBetween(-1e6, 1e6), host.speed = 1 + chance_.uniformBetween(-drift, drift);
     host.wants.resize(terms_.amounts.size());
   }
   for (int i = 0; i < terms_.members; ++i)
@@ -68,10 +68,11 @@
   check();  // what is granted counts before the letter is on its way
   for (auto& letter : host.loans->out()) {
     ++letters_;
-    for (int copy = 1 + (chance_.unit() < copies); copy > 0; --copy) {
-      if (chance_.unit() < loss)
+    for (int copy = 1 + (chance_.uniform() < copies); copy > 0; --copy) {
+      if (chance_.uniform() < loss)
         continue;
-      double way = chance_.between(least, most) + (chance_.unit() < lateShare ? late * chance_.unit() : 0);
+      double way = chance_.uniformBetween(least, most) +
+                   (chance_.uniform() < lateShare ? late * chance_.uniform() : 0);
       events_.at(now_ + way, [this, letter] {
         Host& to = hosts_[size_t(letter.to)];
         if (cut_[size_t(letter.from)][size_t(letter.to)] || !to.loans)
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -45,24 +45,25 @@
   f.fallMultiple = fleet.get("fallMultiple", f.fallMultiple), f.fallTime = fleet.get("fallTime", f.fallTime);
 
   Settings& set = scene.settings;
-  set.gateways = f.gateways, set.zone = f.zones.front();
-  set.kinds = {{f.kind.name, f.kind.cores, f.kind.memoryMb}};
-  set.coldFrom = f.coldFrom, set.coldTime = f.coldTime, set.fallMultiple = f.fallMultiple,
-  set.fallTime = f.fallTime;
+  set.gatewayCount = f.gateways, set.zone = f.zones.front();
+  set.engineKinds = {{f.kind.name, f.kind.cores, f.kind.memoryMb}};
+  set.coldCapacity = f.coldFrom, set.coldDuration = f.coldTime, set.coldOverloadFactor = f.fallMultiple,
+  set.coldOverloadWindow = f.fallTime;
   set.maxSends = fleet.get("maxSends", 3);
-  set.cancel = fleet.get("cancel", true), set.priorities = fleet.get("priorities", true);
+  set.cancelSupported = fleet.get("cancel", true), set.prioritiesSupported = fleet.get("priorities", true);
   for (auto& row : file.rows("profiles")) {
     Profile profile;
     profile.name = row.need<std::string>("name");
-    profile.target = row.get("target", 1.0), profile.targetStretch = row.get("targetStretch", 2.0);
+    profile.latencyTarget = row.get("target", 1.0),
+    profile.latencyTargetStretch = row.get("targetStretch", 2.0);
     profile.clientTimeout = row.get("clientTimeout", 5.0);
-    profile.benefit = row.get("benefit", 1.0), profile.lateShare = row.get("lateShare", 0.0);
+    profile.benefit = row.get("benefit", 1.0), profile.lateBenefitShare = row.get("lateShare", 0.0);
     profile.threads = row.get("threads", 1), profile.ordered = row.get("ordered", false);
-    profile.effect = row.word<Effect>("effect", "replayable",
-                                      {{"replayable", Effect::replayable},
-                                       {"uniqued", Effect::uniqued},
-                                       {"non-replayable", Effect::nonReplayable}});
-    profile.memorySpan = row.get("memorySpan", 60.0);
+    profile.retrySafety = row.word<RetrySafety>("effect", "replayable",
+                                                {{"replayable", RetrySafety::replayable},
+                                                 {"uniqued", RetrySafety::deduplicated},
+                                                 {"non-replayable", RetrySafety::nonReplayable}});
+    profile.deduplicationWindow = row.get("memorySpan", 60.0);
     set.profiles.push_back(profile);
     scene.work.push_back({row.get("work", 0.2), row.get("spread", 0.5), row.get("memoryMb", 0.0)});
   }
--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -189,9 +189,9 @@
     for (auto& profile : scene_.settings.profiles) {
       classes.push_back({{"name", profile.name},
                          {"repeat", "idempotent"},
-                         {"aimUs", profile.target * 1e6},
-                         {"aimStretch", profile.targetStretch},
-                         {"lateWorth", profile.lateShare},
+                         {"aimUs", profile.latencyTarget * 1e6},
+                         {"aimStretch", profile.latencyTargetStretch},
+                         {"lateWorth", profile.lateBenefitShare},
                          {"deadlineUs", profile.clientTimeout * 1e6},
                          {"value", profile.benefit}});
       threads.push_back(profile.threads);
@@ -217,11 +217,11 @@
             {"connectTimeoutUs", 250000},
             {"connIdleUs", 15000000},
             {"maxAttempts", scene_.settings.maxSends},
-            {"cancel", scene_.settings.cancel}}},
+            {"cancel", scene_.settings.cancelSupported}}},
           {"specifics",
            {{"dop", threads},
             {"kindCores", {scene_.fleet.kind.cores}},
-            {"ranksHeeded", scene_.settings.priorities}}}}}};
+            {"ranksHeeded", scene_.settings.prioritiesSupported}}}}}};
     std::ofstream(base + ".json") << config.dump();
     bool budgets = !scene_.budgetsText.is_null() && variant_.budgets;
     if (budgets)
@@ -429,7 +429,7 @@
     const Profile& profile = scene_.settings.profiles[asked.profile];
     auto& second = record_.seconds[std::min(size_t(now()), record_.seconds.size() - 1)];
     if (how == Mark::answered)
-      second.earned[asked.team] += (now() <= asked.targetAt ? 1 : profile.lateShare) * profile.benefit;
+      second.earned[asked.team] += (now() <= asked.targetAt ? 1 : profile.lateBenefitShare) * profile.benefit;
     idle_[client.gate].push_back(&client);
   }
 
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -62,7 +62,7 @@
   };
 
   // A gateway, and the client's side of its commands.
-  struct Gate final : Outlet {
+  struct Gate final : ActionSink {
     Gate(World& its, uint32_t id) : world(its), number(id) {}
     void open() {
       const Variant& variant = world.variant_;
@@ -85,13 +85,13 @@
                 {world.record_.asked[known->second].at, told.half, told.nine, seen, known->second});
           });
         }
-        gateway = openGateway(settings, seed, *this, office.get());
+        policy = createPolicy(settings, seed, *this, office.get());
       } else {
-        gateway = std::make_unique<Baseline>(settings, seed, *this, variant.deciding == Deciding::random);
+        policy = std::make_unique<Baseline>(settings, seed, *this, variant.deciding == Deciding::random);
       }
       ListEvent first{0, true, {}};
       for (uint32_t i = 0; i < world.engines_.size(); ++i)
-        first.rows.push_back(world.listingOf(i, NodeState::inService));
+        first.rows.push_back(world.listingOf(i, EngineState::inService));
       hear(first);
     }
     // The list, or what of it is in view.
@@ -102,13 +102,13 @@
       watch();
     }
     void show(const std::vector<Listing>& listings, bool whole) {
-      std::vector<NodeRow> rows;
+      std::vector<EngineRecord> rows;
       for (auto& listing : listings)
         rows.push_back(rowOf(listing));
       if (whole || !rows.empty())
-        tell([&] { gateway->list(whole ? ListKind::full : ListKind::changes, rows); });
+        tell([&] { policy->updateEngines(whole ? EngineListKind::full : EngineListKind::delta, rows); });
     }
-    void rests(uint32_t node, bool is) override {
+    void ejectionChanged(uint32_t node, bool is) override {
       if (view)
         view->rests(node, is), watch();  // the module is told in a turn of its own
     }
@@ -121,13 +121,13 @@
           watchAt = -1, show(view->tick(world.now_), false), watch();
       });
     }
-    static NodeRow rowOf(const Listing& listing) {
-      NodeRow row = listing.row;
+    static EngineRecord rowOf(const Listing& listing) {
+      EngineRecord row = listing.row;
       if (listing.bornMs > 0)
         row.startedAt = double(listing.bornMs) / 1000;
       return row;
     }
-    ~Gate() override { gateway.reset(), commands.clear(), out.clear(); }
+    ~Gate() override { policy.reset(), commands.clear(), out.clear(); }
 
     // Loans between gateways: a look ten times a second, letters with the fleet's delay.
     void lend() {
@@ -136,7 +136,7 @@
       look();
     }
     void look() {
-      office->at(world.now_);
+      office->advanceTo(world.now_);
       office->share(usable());
       auto wants = office->wants();
       for (size_t i = 0; i < wants.size(); ++i)
@@ -151,7 +151,7 @@
         world.events_.at(world.now_ + world.scene_.fleet.delay, [this, letter] {
           Gate& to = *world.gates_[size_t(letter.to)];
           to.loans->hear(world.now_, letter);
-          to.office->at(world.now_);
+          to.office->advanceTo(world.now_);
           to.post();
         });
     }
@@ -163,17 +163,17 @@
     }
 
     void tell(const std::function<void()>& what) {
-      gateway->at(world.now_);
+      policy->advanceTo(world.now_);
       what();
-      gateway->settle();
+      policy->decide();
     }
 
     void take(uint64_t id, const Arrival& arrival) {
       world.mark(Mark::taken, *this, id);
-      gateway->at(world.now_);
-      auto command = gateway->take(arrival);
+      policy->advanceTo(world.now_);
+      auto command = policy->submit(arrival);
       commands[id] = command, numbers[command.get()] = id;
-      gateway->settle();
+      policy->decide();
     }
     void send(Command& command, uint32_t node, double timeout, double) override {
       uint64_t id = numbers.at(&command);
@@ -195,9 +195,10 @@
       uint32_t node = sent->second.node;
       world.events_.at(world.now_ + world.scene_.fleet.delay,
                        [this, node, number_] { world.drop(node, number_); });
-      over(number_, Outcome::expired);
+      over(number_, Outcome::timedOut);
     }
-    void over(uint64_t number_, Outcome what, const Bill* bill = nullptr, const Report* report = nullptr) {
+    void over(uint64_t number_, Outcome what, const ResourceUsage* usage = nullptr,
+              const LoadReport* report = nullptr) {
       auto found = out.extract(number_);
       if (found.empty())
         return;
@@ -208,11 +209,11 @@
       if (answered)
         final(sent.number, Mark::answered);
       tell([&] {
-        sent.command->outcome(what, world.now_ - sent.at, ended.contains(sent.number), bill, report);
+        sent.command->sendFinished(what, world.now_ - sent.at, ended.contains(sent.number), usage, report);
       });
       forget(sent.number);
     }
-    void terms(Command& command, int priority, double) override {
+    void setPriorityAndMemory(Command& command, int priority, double) override {
       ranks[&command] = priority;
       if (auto sent = byCommand.find(&command); sent != byCommand.end())
         world.rank(out.at(sent->second).node, sent->second, priority);
@@ -235,8 +236,8 @@
     }
     void fail(Command& command) override { final(numbers.at(&command), Mark::failed); }
     void probe(uint32_t) override {}
-    void followList() override {}
-    void wake(double at) override {
+    void requestEngineList() override {}
+    void scheduleWakeUp(double at) override {
       double real = std::max(world.now_, at);
       wakeAt = real;
       world.events_.at(real, [this, real] {
@@ -268,7 +269,7 @@
     std::unique_ptr<view::View> view;
     std::unique_ptr<budget::Office> office;
     std::unique_ptr<shared::Loans> loans;
-    std::unique_ptr<Gateway> gateway;
+    std::unique_ptr<Policy> policy;
     std::unordered_map<uint64_t, std::shared_ptr<Command>> commands;
     std::unordered_map<const Command*, uint64_t> numbers, byCommand;
     std::unordered_map<const Command*, int> ranks;
@@ -284,7 +285,7 @@
   void earn(uint64_t id) {
     const Asked& asked = record_.asked[id];
     const Profile& profile = scene_.settings.profiles[asked.profile];
-    double worth = now_ <= record_.asked[asked.first].targetAt ? 1 : profile.lateShare;
+    double worth = now_ <= record_.asked[asked.first].targetAt ? 1 : profile.lateBenefitShare;
     second().earned[asked.team] += worth * profile.benefit, second().work[asked.team] += asked.work;
   }
   void sample() {
@@ -332,10 +333,10 @@
     auto& chance = chances_[team];
     if (!chance)
       chance = std::make_unique<Pcg32>(arrivals_.next() + team);
-    events_.at(now_ - std::log(1 - chance->unit()) / most, [this, team, most] {
+    events_.at(now_ - std::log(1 - chance->uniform()) / most, [this, team, most] {
       Pcg32& draw = *chances_[team];
-      double keep = draw.unit(), pick = draw.unit(), size = draw.unit(), angle = draw.unit(),
-             user = draw.unit();
+      double keep = draw.uniform(), pick = draw.uniform(), size = draw.uniform(), angle = draw.uniform(),
+             user = draw.uniform();
       uint32_t gate = draw.next(), tables = draw.next();
       if (keep * most < rateOf(team))
         arrive(team, pick, size, angle, user, gate, tables);
@@ -361,7 +362,8 @@
     double cost = work.mean * std::exp(work.spread * normal - work.spread * work.spread / 2);
     Arrival arrival;
     arrival.profile = scene_.settings.profiles[profile].name, arrival.tenant = who.name;
-    arrival.tables = tables % 64, arrival.work = cost / who.estimateOver, arrival.memoryMb = work.memoryMb;
+    arrival.tableGroup = tables % 64, arrival.estimatedWork = cost / who.estimateOver,
+    arrival.estimatedMemoryMb = work.memoryMb;
     if (who.users > 0)
       arrival.users = {"u" + std::to_string(int(user * who.users))};
     auto gates = uint32_t(std::ceil(who.gates * double(gates_.size()) - 1e-9));
@@ -371,10 +373,10 @@
            int tries) {
     const Profile& row = scene_.settings.profiles[profile];
     uint64_t id = record_.asked.size();
-    arrival.timeLeft = row.clientTimeout;
-    double target = row.target + row.targetStretch * cost / row.threads;
+    arrival.remainingTime = row.clientTimeout;
+    double target = row.latencyTarget + row.latencyTargetStretch * cost / row.threads;
     record_.asked.push_back({first, uint32_t(team), uint32_t(profile), now_, cost, now_ + target,
-                             now_ + row.clientTimeout, gate, uint32_t(arrival.tables)});
+                             now_ + row.clientTimeout, gate, uint32_t(arrival.tableGroup)});
     if (first == id)
       second().asked[team] += row.benefit;
     if (tries < scene_.retries)
@@ -395,7 +397,7 @@
   const std::string& zoneOf(uint32_t node) const {
     return scene_.fleet.zones[node % scene_.fleet.zones.size()];
   }
-  Listing listingOf(uint32_t node, NodeState state) const {
+  Listing listingOf(uint32_t node, EngineState state) const {
     Listing listing;
     listing.row = {node, zoneOf(node), scene_.fleet.kind.name, 0, state, {}};
     if (auto start = engines_[node]->model.startedAt)
@@ -442,10 +444,10 @@
         Gate* gate = place.mapped();
         const Engine& model = engines_[node]->model;
         double used = std::min(1.0, model.threads() / scene_.fleet.kind.cores);
-        Report report{double(model.running()), {}, used, {}, {}};
+        LoadReport report{double(model.running()), {}, used, {}, {}};
         events_.at(now_ + scene_.fleet.delay, [this, gate, one, report] {
-          Bill bill{one.work, one.memoryMb};
-          gate->over(one.send, Outcome::answered, &bill, scene_.fleet.reports ? &report : nullptr);
+          ResourceUsage usage{one.work, one.memoryMb};
+          gate->over(one.send, Outcome::answered, &usage, scene_.fleet.reports ? &report : nullptr);
         });
       }
       wakeMachine(node);
@@ -460,14 +462,14 @@
       engines_[node]->model.rank(now_, send, priority), wakeMachine(node);
     });
   }
-  void list(const std::vector<uint32_t>& nodes, NodeState state, double lag) {
+  void list(const std::vector<uint32_t>& nodes, EngineState state, double lag) {
     events_.at(now_ + lag, [this, nodes, state] {
       ListEvent event;
       for (uint32_t node : nodes)
         event.rows.push_back(listingOf(node, state));
       for (auto& gate : gates_) {
         for (uint32_t node : nodes)
-          mark(state == NodeState::inService ? Mark::told : Mark::drained, *gate, 0, node);
+          mark(state == EngineState::inService ? Mark::told : Mark::drained, *gate, 0, node);
         gate->hear(event);
       }
     });
@@ -495,12 +497,12 @@
                      [gate = place.mapped(), send = one.send] { gate->over(send, Outcome::reset); });
       wakeMachine(node);
     }
-    list(nodes, NodeState::gone, scene_.fleet.listLag);
+    list(nodes, EngineState::removed, scene_.fleet.listLag);
   }
   void start(const std::vector<uint32_t>& nodes) {  // cold
     for (uint32_t node : nodes)
       engines_[node]->model.start(now_, true), wakeMachine(node);
-    list(nodes, NodeState::inService, scene_.fleet.listLag);
+    list(nodes, EngineState::inService, scene_.fleet.listLag);
   }
   // A part of them after the other is drained, ends and comes back cold.
   void roll(const Trouble& trouble) {
@@ -510,7 +512,7 @@
       auto at = [&](int i) { return nodes.begin() + long(nodes.size()) * i / trouble.steps; };
       std::vector<uint32_t> its(at(step), at(step + 1));
       double from = now_ + trouble.lasts * step / trouble.steps;
-      events_.at(from, [this, its] { list(its, NodeState::draining, 0); });
+      events_.at(from, [this, its] { list(its, EngineState::draining, 0); });
       events_.at(from + kGrace, [this, its] { stop(its); });
       events_.at(from + kGrace + scene_.fleet.listLag + kDown, [this, its] { start(its); });
     }
@@ -520,7 +522,7 @@
       return roll(trouble);
     auto nodes = nodesOf(trouble);
     if (trouble.kind == "drain")
-      list(nodes, NodeState::draining, 0);
+      list(nodes, EngineState::draining, 0);
     if (trouble.kind == "lose")
       stop(nodes);
     for (uint32_t node : nodes) {
@@ -543,7 +545,7 @@
     if (trouble.kind == "lose")
       start(nodes);
     if (trouble.kind == "drain")
-      list(nodes, NodeState::inService, 0);
+      list(nodes, EngineState::inService, 0);
     for (uint32_t node : nodes) {
       Engine& engine = engines_[node]->model;
       if (trouble.kind == "slow")
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -94,9 +94,9 @@
 std::unique_ptr<view::View> viewOf(const GatewayConfig& own, const Settings& settings) {
   if (!own.view)
     return nullptr;
-  if (own.members && int(own.members->peers.size()) != settings.gateways)
+  if (own.members && int(own.members->peers.size()) != settings.gatewayCount)
     throw view::Error(view::Wrong::countsDiffer,
-                      "settings.balancers is " + std::to_string(settings.gateways) +
+                      "settings.balancers is " + std::to_string(settings.gatewayCount) +
                           ", members.peers lists " + std::to_string(own.members->peers.size()),
                       "settings.balancers");
   return std::make_unique<view::View>(*own.view, settings);
--- a/src/members/core.cpp
+++ b/src/members/core.cpp
@@ -59,7 +59,7 @@
   promisesFrom_ =
       now + kGuard * plan_.longestPromise;  // whatever an earlier life of ours promised is over then
   heardAt_ = now;
-  nextProbe_ = nextGossip_ = now + chance_.unit() * kGossip * plan_.period;  // not in step with the others
+  nextProbe_ = nextGossip_ = now + chance_.uniform() * kGossip * plan_.period;  // not in step with the others
   nextCompare_ = now;
   settle({self_, own()}, self_);
 }
@@ -181,7 +181,8 @@
     if (row.member >= 0)
       merge(row, from);
   if (changes_ - before > kMuch)
-    nextCompare_ = std::min(nextCompare_, now_ + kCompareSoon * plan_.period * chance_.between(0.5, 1.5));
+    nextCompare_ =
+        std::min(nextCompare_, now_ + kCompareSoon * plan_.period * chance_.uniformBetween(0.5, 1.5));
   if (aside_)
     return;
   switch (message.kind) {
@@ -298,7 +299,7 @@
     record.suspicion = Suspicion{now_, {}};
     speakUp(record, row.by >= 0 ? row.by : teller);
     // Some look for themselves, at once: it ends sooner so, either way.
-    if (teller != self_ && chance_.unit() * double(there_) < kLook)
+    if (teller != self_ && chance_.uniform() * double(there_) < kLook)
       round_.push_back(row.member), nextProbe_ = now_;
   }
   if (row.member != self_ && (claim.state == State::suspect || claim.state == State::down))
@@ -527,7 +528,7 @@
 }
 
 void Core::compare(Member with) {
-  nextCompare_ = now_ + kCompareEach * plan_.period * chance_.between(0.5, 1.5);
+  nextCompare_ = now_ + kCompareEach * plan_.period * chance_.uniformBetween(0.5, 1.5);
   say(Kind::compare, with).sums = sums();
 }
 
--- a/src/pcg32.h
+++ b/src/pcg32.h
@@ -15,8 +15,8 @@
     auto turn = static_cast<uint32_t>(old >> 59);
     return (shifted >> turn) | (shifted << ((32 - turn) & 31));
   }
-  double unit() { return next() * 0x1p-32; }  // in [0, 1)
-  double between(double low, double high) { return low + (high - low) * unit(); }
+  double uniform() { return next() * 0x1p-32; }  // in [0, 1)
+  double uniformBetween(double low, double high) { return low + (high - low) * uniform(); }
 
  private:
   static constexpr uint64_t kStep = 1442695040888963407ULL;
--- a/src/protocol/change_log.cpp
+++ b/src/protocol/change_log.cpp
@@ -58,7 +58,8 @@
     one.bornMs = static_cast<int64_t>(from.number(8));
     if (state > 2 || zone >= zones_.size() || machine >= kinds_.size())
       return State::bad;
-    static constexpr NodeState states[] = {NodeState::inService, NodeState::draining, NodeState::gone};
+    static constexpr EngineState states[] = {EngineState::inService, EngineState::draining,
+                                             EngineState::removed};
     one.row.state = states[state], one.row.zone = zones_[zone], one.row.kind = kinds_[machine];
   }
   return State::event;
--- a/src/protocol/change_log.h
+++ b/src/protocol/change_log.h
@@ -10,8 +10,8 @@
 
 namespace elmcleat {
 
-struct Listing {  // an engine as the list has it
-  NodeRow row;    // without its start
+struct Listing {     // an engine as the list has it
+  EngineRecord row;  // without its start
   Address address;
   int64_t bornMs = 0;  // Unix time of a late start; 0: long ago
 };
--- a/src/protocol/engine_lines.cpp
+++ b/src/protocol/engine_lines.cpp
@@ -28,33 +28,33 @@
   return readNumber(text, value) && std::isfinite(value) && value >= 0 && value <= kMostFigure;
 }
 
-bool readReport(std::string_view text, Report& report) {
+bool readReport(std::string_view text, LoadReport& report) {
   while (!text.empty()) {
     std::string_view pair = cut(text, ';'), name = cut(pair, ':');
     double value = 0;
     if (!readFigure(pair, value))
       return false;
     if (name == "inflight" || name == "concurrent")
-      report.inHand = value;
+      report.inFlight = value;
     else if (name == "queue" || name == "depth")
-      report.waiting = value;
+      report.queued = value;
     else if (name == "util" || name == "load_share")
       report.utilisation = value;
     else if (name == "x0")
       report.memoryGranted = value;
     else if (name == "x1")
-      report.disksBusy = value;
+      report.diskUtilisation = value;
   }
   return true;
 }
 
-std::optional<Topic> readTopic(std::string_view name) {
+std::optional<StatusTopic> readTopic(std::string_view name) {
   if (name == "pct")
-    return Topic::progress;
+    return StatusTopic::progress;
   if (name == "overflow")
-    return Topic::spills;
+    return StatusTopic::spilling;
   if (name == "queued")
-    return Topic::waits;
+    return StatusTopic::queued;
   return std::nullopt;  // a note that we don't know says nothing to us
 }
 
--- a/src/protocol/engine_lines.h
+++ b/src/protocol/engine_lines.h
@@ -15,10 +15,10 @@
   std::string id;
   Word word = Word::answered;
   int pages = 1, page = 0;  // of all pages, with `answered`; its number, with `page`
-  std::optional<Topic> topic;
+  std::optional<StatusTopic> topic;
   double level = 0;
-  std::optional<Report> report;
-  std::optional<Bill> bill;
+  std::optional<LoadReport> report;
+  std::optional<ResourceUsage> bill;
   std::string body;
 };
 
--- a/src/serve/ask.cpp
+++ b/src/serve/ask.cpp
@@ -75,7 +75,7 @@
     ask.work /= 1e3;
   }
   double mostMemory = 0;
-  for (auto& kind : settings.kinds)
+  for (auto& kind : settings.engineKinds)
     mostMemory = std::max(mostMemory, kMostEngines * kind.memoryMb);
   if (mostMemory <= 0)
     mostMemory = kMostMemory;
@@ -92,7 +92,7 @@
     if (!isWord(*token))
       return refuse(400, "Req-Token must be one word");
     ask.token = *token;
-  } else if (profile->effect == Effect::uniqued) {
+  } else if (profile->retrySafety == RetrySafety::deduplicated) {
     return refuse(400, "Req-Token is missing");  // without it engines could not know a repeat
   }
   ask.tables = tablesOf(request.body).value_or(0);
--- a/src/serve/close_reason.cpp
+++ b/src/serve/close_reason.cpp
@@ -4,13 +4,13 @@
 
 Outcome outcomeOf(CloseReason ending, bool begun) {
   if (begun)
-    return ending == CloseReason::timedOut ? Outcome::expired : Outcome::reset;
+    return ending == CloseReason::timedOut ? Outcome::timedOut : Outcome::reset;
   switch (ending) {
     // Nothing was tried at the engine, so nothing is said of it.
     case CloseReason::noDescriptor:
     case CloseReason::replaced:
     case CloseReason::timedOut:
-      return Outcome::unused;
+      return Outcome::notStarted;
     default:
       return Outcome::connectFailed;
   }
@@ -22,9 +22,9 @@
     case Word::well:
       return Outcome::answered;
     case Word::full:
-      return Outcome::full;
+      return Outcome::overloaded;
     case Word::over:
-      return Outcome::unused;  // its time was up when it came: it never ran
+      return Outcome::notStarted;  // its time was up when it came: it never ran
     default:
       return Outcome::error;
   }
--- a/src/serve/discovery.cpp
+++ b/src/serve/discovery.cpp
@@ -152,16 +152,16 @@
 
 void Discovery::use(const std::vector<Listing>& listings, bool whole) {
   std::set<uint32_t> named;
-  std::vector<NodeRow> rows;
+  std::vector<EngineRecord> rows;
   for (auto& listing : listings) {
-    NodeRow& row = rows.emplace_back(listing.row);
+    EngineRecord& row = rows.emplace_back(listing.row);
     if (listing.bornMs > 0)
       row.startedAt = scheduler_.clock().fromUnix(listing.bornMs);
     named.insert(row.id);
     auto& engine = engines_[row.id];
     if (!engine)
       engine = std::make_unique<Engine>(scheduler_, config_.links, dispatcher_, row.id, linksEach_, room_);
-    if (row.state == NodeState::inService)
+    if (row.state == EngineState::inService)
       engine->place(listing.address, row.startedAt);
     else
       engine->retire();
@@ -173,7 +173,7 @@
   }
   // Clients hold a third of all descriptors at most; as many are for engines, and the last third is to spare.
   linksEach_ = std::max<size_t>(1, config_.sockets / 3 / std::max<size_t>(1, engines_.size()));
-  dispatcher_.listed(whole ? ListKind::full : ListKind::changes, std::move(rows));
+  dispatcher_.listed(whole ? EngineListKind::full : EngineListKind::delta, std::move(rows));
 }
 
 // --- from the dispatcher
--- a/src/serve/dispatcher.cpp
+++ b/src/serve/dispatcher.cpp
@@ -14,8 +14,8 @@
       signal_(scheduler),
       mailbox_(signal_),
       wake_(scheduler, [this] { signal_.raise(); }),
-      budgets_(plan ? std::make_unique<budget::Office>(*plan, settings.gateways) : nullptr),
-      gateway_(openGateway(local.value_or(settings), seed, *this, budgets_.get())) {
+      budgets_(plan ? std::make_unique<budget::Office>(*plan, settings.gatewayCount) : nullptr),
+      gateway_(createPolicy(local.value_or(settings), seed, *this, budgets_.get())) {
   if (plan)
     actor_ = lower(plan->actor);
 }
@@ -29,9 +29,9 @@
 Task Dispatcher::run() {
   while (true) {
     co_await signal_;
-    gateway_->at(scheduler_.now());
+    gateway_->advanceTo(scheduler_.now());
     mailbox_.drain();
-    gateway_->settle();
+    gateway_->decide();
     for (auto& ticket : std::exchange(overNow_, {}))
       sweep(ticket);
   }
@@ -45,7 +45,7 @@
     Ask& ask = ticket->ask;
     ask.endsAt = std::min(ask.endsAt, drainsBy_);
     double left = std::max(0.0, ask.endsAt - scheduler_.now());
-    ticket->command = gateway_->take(
+    ticket->command = gateway_->submit(
         {ask.profile, ask.tenant, ask.tables, ask.key, ask.work, ask.memoryMb, left, ask.users});
     tickets_.emplace(ticket->command.get(), ticket);
   });
@@ -83,7 +83,7 @@
       if (ticket->over || ticket->ask.endsAt <= by)
         continue;
       ticket->ask.endsAt = by;
-      ticket->command->endsBy(by);
+      ticket->command->shortenDeadline(by);
       if (ticket->out)
         engines_->shorten(out_.at(command), ticket);
     }
@@ -114,33 +114,35 @@
 
 // --- from engines and the list
 void Dispatcher::ended(const std::shared_ptr<Ticket>& ticket, Outcome what, double took,
-                       std::optional<Bill> bill, std::optional<Report> report,
+                       std::optional<ResourceUsage> usage, std::optional<LoadReport> report,
                        std::optional<std::string> rows) {
-  mailbox_.post([this, ticket, what, took, bill, report, rows = std::move(rows)]() mutable {
+  mailbox_.post([this, ticket, what, took, usage, report, rows = std::move(rows)]() mutable {
     ticket->out = false;
     out_.erase(ticket->command.get());
     if (what == Outcome::answered && !ticket->over) {
       ticket->over = true;
       answer(*ticket, {Answer::Kind::served, std::move(*rows), 0});
     }
-    ticket->command->outcome(what, took, ticket->over, bill ? &*bill : nullptr, report ? &*report : nullptr);
+    ticket->command->sendFinished(what, took, ticket->over, usage ? &*usage : nullptr,
+                                  report ? &*report : nullptr);
     sweep(ticket);
   });
 }
 
-void Dispatcher::noted(const std::shared_ptr<Ticket>& ticket, Topic topic, double level) {
+void Dispatcher::noted(const std::shared_ptr<Ticket>& ticket, StatusTopic topic, double level) {
   mailbox_.post([ticket, topic, level] {
     if (ticket->out)
-      ticket->command->note(topic, level);
+      ticket->command->statusReported(topic, level);
   });
 }
 
-void Dispatcher::probed(uint32_t node, Outcome what, std::optional<Report> report) {
-  mailbox_.post([this, node, what, report] { gateway_->probed(node, what, report ? &*report : nullptr); });
+void Dispatcher::probed(uint32_t node, Outcome what, std::optional<LoadReport> report) {
+  mailbox_.post(
+      [this, node, what, report] { gateway_->probeFinished(node, what, report ? &*report : nullptr); });
 }
 
-void Dispatcher::listed(ListKind kind, std::vector<NodeRow> rows) {
-  mailbox_.post([this, kind, rows = std::move(rows)] { gateway_->list(kind, rows); });
+void Dispatcher::listed(EngineListKind kind, std::vector<EngineRecord> rows) {
+  mailbox_.post([this, kind, rows = std::move(rows)] { gateway_->updateEngines(kind, rows); });
 }
 
 // --- what the module wants
@@ -152,7 +154,7 @@
   engines_->send(node, ticket, timeout > 0 ? std::min(now + timeout, end) : end);
 }
 
-void Dispatcher::terms(Command& command, int priority, double) {
+void Dispatcher::setPriorityAndMemory(Command& command, int priority, double) {
   auto ticket = ticketOf(command);
   ticket->priority = priority;  // the lines spoken with engines have no word for a memory grant
   if (ticket->out)
--- a/src/serve/dispatcher.h
+++ b/src/serve/dispatcher.h
@@ -1,5 +1,5 @@
-// The dispatcher: the module's actor. All that happens is posted here; a batch is at(now), the mailbox drained,
-// settle() once. What the module then wants done goes straight to the engines and the askers. Every protocol
+// The dispatcher: the module's actor. All that happens is posted here; a batch is advanceTo(now), the mailbox drained,
+// decide() once. What the module then wants done goes straight to the engines and the askers. Every protocol
 // that clients speak goes through take(), withdraw() and Asker.
 #pragma once
 #include <functional>
@@ -30,7 +30,7 @@
   virtual void rests(uint32_t node, bool is) = 0;  // the module has found it unfit, or fit again
 };
 
-class Dispatcher final : public Outlet {
+class Dispatcher final : public ActionSink {
  public:
   // With a plan, budgets stand over the module's turns; without one it decides alone. `local`: what the module is told
   // of its part of the fleet, where it sees a part alone; budgets are divided by all gateways in any case.
@@ -47,10 +47,11 @@
   void drain(double by);
 
   // From engines.
-  void ended(const std::shared_ptr<Ticket>& ticket, Outcome what, double took, std::optional<Bill> bill,
-             std::optional<Report> report, std::optional<std::string> rows);
-  void noted(const std::shared_ptr<Ticket>& ticket, Topic topic, double level);
-  void probed(uint32_t node, Outcome what, std::optional<Report> report);
+  void ended(const std::shared_ptr<Ticket>& ticket, Outcome what, double took,
+             std::optional<ResourceUsage> usage, std::optional<LoadReport> report,
+             std::optional<std::string> rows);
+  void noted(const std::shared_ptr<Ticket>& ticket, StatusTopic topic, double level);
+  void probed(uint32_t node, Outcome what, std::optional<LoadReport> report);
 
   // The header, in lower case, that names users below the tenant; empty: none.
   const std::string& actor() const { return actor_; }
@@ -61,20 +62,20 @@
   void share(std::vector<shared::Usable> usable, std::function<void(std::vector<double>)> heeded);
 
   // From the list.
-  void listed(ListKind kind, std::vector<NodeRow> rows);
+  void listed(EngineListKind kind, std::vector<EngineRecord> rows);
 
  private:
-  // What the module wants (Outlet).
+  // What the module wants (ActionSink).
   void send(Command& command, uint32_t node, double timeout, double beginBy) override;
-  void terms(Command& command, int priority, double memoryMb) override;
+  void setPriorityAndMemory(Command& command, int priority, double memoryMb) override;
   void cancel(Command& command, int sendNo) override;
   void shed(Command& command, double retryAfter) override;
   void fail(Command& command) override;
   void probe(uint32_t node) override;
-  void followList() override {}  // the list is followed from the start
-  void wake(double at) override { wake_.set(at); }
+  void requestEngineList() override {}  // the list is followed from the start
+  void scheduleWakeUp(double at) override { wake_.set(at); }
   void log(const std::string& line) override;
-  void rests(uint32_t node, bool is) override { engines_->rests(node, is); }
+  void ejectionChanged(uint32_t node, bool is) override { engines_->rests(node, is); }
 
   Task run();
   void answer(Ticket& ticket, Answer answer);
@@ -87,7 +88,7 @@
   Timer wake_;
   Engines* engines_ = nullptr;
   std::unique_ptr<budget::Office> budgets_;  // before the gateway: it must outlive it
-  std::unique_ptr<Gateway> gateway_;
+  std::unique_ptr<Policy> gateway_;
   std::unordered_map<const Command*, std::shared_ptr<Ticket>> tickets_;
   std::unordered_map<const Command*, uint32_t> out_;              // where the send is that has no outcome
   std::unordered_map<std::string, std::shared_ptr<Ticket>> ids_;  // of the same
--- a/src/serve/engine.cpp
+++ b/src/serve/engine.cpp
@@ -123,7 +123,7 @@
   auto& send = link->sends[id];
   send = std::make_unique<Send>(
       scheduler_, [this, link, id] { due(*link, *link->sends.at(id)); },
-      [this, link, id] { giveUp(*link, *link->sends.at(id), Outcome::expired); });
+      [this, link, id] { giveUp(*link, *link->sends.at(id), Outcome::timedOut); });
   send->ticket = ticket, send->sentAt = now, send->until = until;
   send->deadline.set(std::min(until, ticket->beginBy));
   if (sends_++ == 0)
@@ -223,7 +223,7 @@
 // Its time to begin, or all of its time, is up.
 void Engine::due(Link& link, Send& send) {
   if (scheduler_.now() >= send.until)
-    giveUp(link, send, Outcome::expired);
+    giveUp(link, send, Outcome::timedOut);
   else if (!endUnbegun(link, send))
     send.deadline.set(send.until);
 }
@@ -250,7 +250,7 @@
     limit = std::make_unique<Timer>(scheduler_, [this, &link, tag] {
       link.probes.erase(tag);
       drop(link, tag);
-      dispatcher_.probed(id_, Outcome::expired, {});
+      dispatcher_.probed(id_, Outcome::timedOut, {});
       rest(link);
     });
     limit->set(scheduler_.now() + settings_.connectTimeout);
@@ -537,8 +537,8 @@
       finish(link, send, *send.givenUp);
 }
 
-void Engine::finish(Link& link, Send& send, Outcome what, std::optional<Bill> bill,
-                    std::optional<Report> report, std::optional<std::string> rows) {
+void Engine::finish(Link& link, Send& send, Outcome what, std::optional<ResourceUsage> usage,
+                    std::optional<LoadReport> report, std::optional<std::string> rows) {
   auto node = link.sends.extract(send.ticket->ask.id);
   --sends_;
   double took = scheduler_.now() - send.sentAt;
@@ -547,7 +547,7 @@
         << name() << ": send of " << send.ticket->ask.id << " ended after " << took << " s";
     drop(link, send.ticket->ask.id);  // a further send of it goes elsewhere, should this answer have a copy
   }
-  dispatcher_.ended(send.ticket, what, took, bill, report, std::move(rows));
+  dispatcher_.ended(send.ticket, what, took, usage, report, std::move(rows));
   rest(link);
 }
 
--- a/src/serve/engine.h
+++ b/src/serve/engine.h
@@ -99,8 +99,8 @@
   void drop(Link& link, const std::string& id);
   void heard(Link& link);
   void doubt();
-  void finish(Link& link, Send& send, Outcome what, std::optional<Bill> bill = {},
-              std::optional<Report> report = {}, std::optional<std::string> rows = {});
+  void finish(Link& link, Send& send, Outcome what, std::optional<ResourceUsage> usage = {},
+              std::optional<LoadReport> report = {}, std::optional<std::string> rows = {});
   void rest(Link& link);
   void release();
   std::pair<Link*, Send*> find(const Ticket& ticket);
--- a/src/shared/loans.cpp
+++ b/src/shared/loans.cpp
@@ -38,7 +38,7 @@
       self_(self),
       life_(life),
       chance_(seed),
-      nextTick_(now + kTick * chance_.unit()),
+      nextTick_(now + kTick * chance_.uniform()),
       lendsFrom_(now + terms.length + 2 * terms.guard),
       nextAsk_(now),
       lines_(terms.amounts.size()),
--- a/src/time_ring.h
+++ b/src/sliding_window_sum.h
@@ -7,25 +7,25 @@
 
 namespace elmcleat {
 
-// Holds the last `span` seconds. sum() covers at least the span (one bucket more), so it never reports too
-// little; surely() leaves out the oldest, partly covered bucket, so it never reports too much.
-class TimeRing {
+// Holds the last `span` seconds. upperBound() covers at least the span (one bucket more), so it never reports too
+// little; lowerBound() leaves out the oldest, partly covered bucket, so it never reports too much.
+class SlidingWindowSum {
  public:
-  explicit TimeRing(double span = 1) : width_(span / (kBuckets - 2)) {}
+  explicit SlidingWindowSum(double span = 1) : width_(span / (kBuckets - 2)) {}
 
   void add(double now, double value) {
-    turnTo(now);
+    advanceTo(now);
     buckets_[static_cast<size_t>(head_) % kBuckets] += value;
   }
-  double sum(double now) {
-    turnTo(now);
+  double upperBound(double now) {
+    advanceTo(now);
     double all = 0;
     for (double value : buckets_)
       all += value;
     return all;
   }
-  double surely(double now) {
-    double all = sum(now);
+  double lowerBound(double now) {
+    double all = upperBound(now);
     for (int64_t back = 1; back <= 2; ++back)
       all -= buckets_[static_cast<size_t>(head_ + back) % kBuckets];
     return all;
@@ -33,7 +33,7 @@
 
  private:
   static constexpr int64_t kBuckets = 18;
-  void turnTo(double now) {
+  void advanceTo(double now) {
     auto slot = static_cast<int64_t>(std::floor(now / width_)) + kBuckets;
     if (slot - head_ >= kBuckets)
       buckets_.fill(0);
--- a/src/view/view.cpp
+++ b/src/view/view.cpp
@@ -33,29 +33,30 @@
 }  // namespace
 
 View::View(const Plan& plan, const Settings& settings)
-    : settings_(settings), base_(std::min(plan.users, settings.gateways)) {
+    : settings_(settings), base_(std::min(plan.users, settings.gatewayCount)) {
   if (settings.ordinal < 0)
-    throw Error(Wrong::ordinalMissing, "found none; allowed is 0 to " + std::to_string(settings.gateways - 1),
+    throw Error(Wrong::ordinalMissing,
+                "found none; allowed is 0 to " + std::to_string(settings.gatewayCount - 1),
                 "settings.ordinal");
-  if (settings.ordinal >= settings.gateways)
+  if (settings.ordinal >= settings.gatewayCount)
     throw Error(Wrong::ordinalTooLarge,
                 "found " + std::to_string(settings.ordinal) + " with settings.balancers " +
-                    std::to_string(settings.gateways) + "; allowed is 0 to " +
-                    std::to_string(settings.gateways - 1),
+                    std::to_string(settings.gatewayCount) + "; allowed is 0 to " +
+                    std::to_string(settings.gatewayCount - 1),
                 "settings.ordinal");
   for (auto& profile : settings.profiles) {
-    auto zones = sorted(profile.zonesOpen), kinds = sorted(profile.kindsOpen);
+    auto zones = sorted(profile.allowedZones), kinds = sorted(profile.allowedKinds);
     if (std::ranges::none_of(reaches_, [&](auto& reach) { return reach.sameAs(zones, kinds); }))
-      reaches_.emplace_back(plan, settings.gateways, profile.name, zones, kinds);
+      reaches_.emplace_back(plan, settings.gatewayCount, profile.name, zones, kinds);
   }
   told_.resize(reaches_.size());
 }
 
 Settings View::local() const {
   Settings local = settings_;
-  local.gateways = base_, local.ordinal = -1;
+  local.gatewayCount = base_, local.ordinal = -1;
   for (auto& tenant : local.tenants)
-    tenant.quota *= double(base_) / settings_.gateways;
+    tenant.quota *= double(base_) / settings_.gatewayCount;
   return local;
 }
 
@@ -87,7 +88,7 @@
   listing.row.cell = entry.cell, listing.row.state = entry.state;
   listing.address = {entry.host, entry.port}, listing.bornMs = entry.bornMs;
   if (entry.place < base_)
-    listing.row.place = entry.place;
+    listing.row.rank = entry.place;
   return listing;
 }
 
@@ -97,7 +98,7 @@
 }
 
 void View::list(const Entry& entry, int by) {
-  if (entry.state != NodeState::inService)
+  if (entry.state != EngineState::inService)
     return;
   listed_ += size_t(by), used_ += entry.inView ? size_t(by) : 0;
   for (size_t which : makes_[entry.make].classes)
@@ -110,7 +111,7 @@
   entry.indexed = is;
   auto keep = [is](auto& set, auto key) { is ? void(set.insert(key)) : void(set.erase(key)); };
   keep(near_, std::pair{entry.place, entry.id});
-  if (entry.state != NodeState::inService)
+  if (entry.state != EngineState::inService)
     return;
   if (entry.cold)
     keep(cold_, std::pair{entry.bornMs, entry.id});
@@ -124,7 +125,7 @@
   int cap = makes_[entry.make].cap;
   if (entry.near || entry.place >= cap)
     return;
-  entry.place = placeOf(entry.id, settings_.ordinal, settings_.gateways, cap), ++ranked_;
+  entry.place = placeOf(entry.id, settings_.ordinal, settings_.gatewayCount, cap), ++ranked_;
   entry.near = entry.place < cap;
 }
 
@@ -142,7 +143,7 @@
 
 void View::remove(Entry& entry, Changes& changes) {
   index(entry, false), list(entry, -1);
-  entry.state = NodeState::gone;
+  entry.state = EngineState::removed;
   if (entry.inView)
     changes.push_back(listingOf(entry));
 }
@@ -162,7 +163,7 @@
     else
       at =
           std::lower_bound(at, table_.end(), row->row.id, [](auto& entry, auto id) { return entry.id < id; });
-    bool known = at != table_.end() && at->id == row->row.id, stays = row->row.state != NodeState::gone;
+    bool known = at != table_.end() && at->id == row->row.id, stays = row->row.state != EngineState::removed;
     if (known && stays)
       update(*at, *row, now);
     if (known && !stays)
@@ -178,7 +179,7 @@
       drop(*at);
 
   if (gone)
-    std::erase_if(table_, [](auto& entry) { return entry.state == NodeState::gone; });
+    std::erase_if(table_, [](auto& entry) { return entry.state == EngineState::removed; });
   if (size_t size = table_.size() + fresh.size(); size > table_.capacity())
     table_.reserve(size + size / 8);
   auto middle = table_.insert(table_.end(), fresh.begin(), fresh.end());
@@ -194,7 +195,7 @@
 // so that a count that goes up and down over a power of two costs nothing.
 void View::setCaps() {
   bool raised = false;
-  int lowered = settings_.gateways;
+  int lowered = settings_.gatewayCount;
   for (Make& make : makes_) {
     int cap = base_;
     for (size_t which : make.classes)
@@ -222,7 +223,7 @@
 bool View::belongs(const Entry& entry) const {
   if (entry.place < base_)
     return true;  // one that isn't `near` has a place beyond all that follows
-  if (entry.state != NodeState::inService)
+  if (entry.state != EngineState::inService)
     return entry.inView;  // until it has gone
   return !entry.cold && std::ranges::any_of(makes_[entry.make].classes, [&](size_t which) {
     return entry.place < (entry.inView && entry.rests ? reaches_[which].keeps() : reaches_[which].now());
@@ -234,13 +235,13 @@
   entry.changed = false;
   if (is ? entry.inView && !changed : !entry.inView)
     return;
-  if (entry.state == NodeState::inService)
+  if (entry.state == EngineState::inService)
     used_ += size_t(int(is) - int(entry.inView));
   entry.inView = is;
   Listing& told = changes.emplace_back(listingOf(entry));
   if (is)
     return;
-  told.row.state = NodeState::gone;
+  told.row.state = EngineState::removed;
   // Nobody looks at it any more. No class is short of engines as far out as that: none comes to count on it.
   if (entry.rests)
     index(entry, false), entry.rests = false, index(entry, true);
@@ -314,16 +315,17 @@
     for (auto& [place, id] : near_) {
       const Entry& entry = *find(id);
       auto& classes = makes_[entry.make].classes;
-      if (entry.state != NodeState::inService || std::ranges::find(classes, i) == classes.end())
+      if (entry.state != EngineState::inService || std::ranges::find(classes, i) == classes.end())
         continue;
       rest += entry.rests, cold += entry.cold && !entry.inView;
     }
-    lines.push_back(lineOf(Wrong::noEngine,
-                           "none of its " + std::to_string(reach.listed()) + " engines can be used: " +
-                               std::to_string(rest) + " in view rest, " + std::to_string(cold) +
-                               " start and are other dispatchers' to warm; looked as far as place " +
-                               std::to_string(reach.bound()) + " of " + std::to_string(settings_.gateways),
-                           "class " + reach.name()));
+    lines.push_back(lineOf(
+        Wrong::noEngine,
+        "none of its " + std::to_string(reach.listed()) + " engines can be used: " + std::to_string(rest) +
+            " in view rest, " + std::to_string(cold) +
+            " start and are other dispatchers' to warm; looked as far as place " +
+            std::to_string(reach.bound()) + " of " + std::to_string(settings_.gatewayCount),
+        "class " + reach.name()));
   }
   return lines;
 }
--- a/src/view/view.h
+++ b/src/view/view.h
@@ -66,7 +66,7 @@
     int cell = 0;
     int place = 0;  // if it is not `near`: no less than that
     uint16_t port = 0, make = 0;
-    NodeState state : 3 = NodeState::inService;
+    EngineState state : 3 = EngineState::inService;
     bool near : 1 = false;     // its place is known
     bool indexed : 1 = false;  // stands in near_ and is counted
     bool inView : 1 = false;   // as told
@@ -80,7 +80,7 @@
   Entry entryOf(const Listing& listing, double now);
   Listing listingOf(const Entry& entry) const;
   Entry* find(uint32_t id);
-  double warmAt(int64_t bornMs) const { return double(bornMs) / 1000 + settings_.coldTime; }
+  double warmAt(int64_t bornMs) const { return double(bornMs) / 1000 + settings_.coldDuration; }
 
   void update(Entry& entry, const Listing& listing, double now);
   void remove(Entry& entry, Changes& changes);
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -174,7 +174,7 @@
     int seed = *rc::gen::inRange(0, 1 << 20);
     Pcg32 chance(static_cast<uint64_t>(seed));
     Plan plan = planOf({entry("high", 0, 1, 5), entry("sure", 0.5), entry("low", 0, 1, 0)});
-    plan.agedPart = 0.1 + 0.3 * chance.unit();
+    plan.agedPart = 0.1 + 0.3 * chance.uniform();
     for (auto& one : plan.entries)
       one.terms.ageAfter = 2;
     Stage stage(plan);
@@ -183,8 +183,8 @@
     size_t seen = 0;
     while (stage.now < 30) {
       while (comes <= stage.now) {
-        double work = chance.between(0.02, 0.2);
-        double who = chance.unit();
+        double work = chance.uniformBetween(0.02, 0.2);
+        double who = chance.uniform();
         auto& item = stage.come({who < 0.7 ? "high" : who < 0.9 ? "sure" : "low"}, work);
         item.heldAt = comes;  // it came while the one before ran
         comes += work / 2;
@@ -292,15 +292,15 @@
     Plan plan;
     plan.maxNodes = 16;
     for (int i = 0; i < 6; ++i) {
-      Entry one = entry("t" + std::to_string(i), chance.unit() < 0.5 ? chance.unit() : 0, 0.5 + chance.unit(),
-                        int(chance.next() % 4));
-      if (i > 0 && chance.unit() < 0.3)
+      Entry one = entry("t" + std::to_string(i), chance.uniform() < 0.5 ? chance.uniform() : 0,
+                        0.5 + chance.uniform(), int(chance.next() % 4));
+      if (i > 0 && chance.uniform() < 0.3)
         one.parent = "t" + std::to_string(chance.next() % uint32_t(i));
-      if (chance.unit() < 0.3)
+      if (chance.uniform() < 0.3)
         one.terms.ceiling.cores = one.terms.guarantee.cores.value_or(0) + 0.2;
-      if (chance.unit() < 0.3)
+      if (chance.uniform() < 0.3)
         one.terms.ceiling.sends = 1 + chance.next() % 3;
-      one.terms.ageAfter = chance.between(0.1, 3);
+      one.terms.ageAfter = chance.uniformBetween(0.1, 3);
       plan.entries.push_back(one);
     }
     RC_ASSERT(faultsOf(plan).size() < 20);
@@ -310,24 +310,24 @@
     size_t held = 0;
     double now = 0;
     for (int step = 0; step < 400; ++step) {
-      now += chance.between(0, 0.2);
+      now += chance.uniformBetween(0, 0.2);
       if (step % 150 == 149) {  // a change, in the midst of it
-        plan.entries[chance.next() % plan.entries.size()].terms.weight = chance.between(0.1, 9);
+        plan.entries[chance.next() % plan.entries.size()].terms.weight = chance.uniformBetween(0.1, 9);
         tree.change(plan, 1, now);
       }
-      double what = chance.unit();
+      double what = chance.uniform();
       if (what < 0.45) {
         Item& item = *items.emplace_back(std::make_unique<Item>());
         item.actor = {"t" + std::to_string(chance.next() % 9), "u" + std::to_string(chance.next() % 5), "p"};
-        item.work = chance.between(0.01, 0.5), item.memoryMb = 10;
+        item.work = chance.uniformBetween(0.01, 0.5), item.memoryMb = 10;
         tree.take(item, now), tree.hold(item, false, now), ++held;
       } else if (what < 0.8) {
         Item* item = tree.next(now);
         if (!item)
           continue;
         RC_ASSERT(item->held && !item->out);
-        if (chance.unit() < 0.4) {
-          tree.lost(*item, chance.between(0.02, 0.1), now);
+        if (chance.uniform() < 0.4) {
+          tree.lost(*item, chance.uniformBetween(0.02, 0.1), now);
           continue;
         }
         tree.unhold(*item, now), tree.started(*item, now), --held, out.push_back(item);
@@ -335,8 +335,8 @@
         std::swap(out[chance.next() % out.size()], out.back());
         Item* item = out.back();
         out.pop_back();
-        tree.ended(*item, chance.between(0.01, 1), now);
-        if (chance.unit() < 0.3)
+        tree.ended(*item, chance.uniformBetween(0.01, 1), now);
+        if (chance.uniform() < 0.3)
           tree.hold(*item, true, now), ++held;  // goes again
         else
           tree.forget(*item, now);
@@ -429,14 +429,14 @@
       // The queue is never empty, and swings.
       double gap = 0.275 / speed * (double(tree.root().held) < 30 + 20 * std::sin(now / 7) ? 0.5 : 1.5);
       auto& [item, told] = all.emplace_back(std::make_unique<Item>(), Told{now, {}});
-      item->actor = {"team", "report"}, item->work = chance.between(0.05, 0.5);
+      item->actor = {"team", "report"}, item->work = chance.uniformBetween(0.05, 0.5);
       tree.take(*item, now);
       waits.at(now);
       told.estimate = waits.arrives(*item, now);
       tree.hold(*item, false, now);
       if (now > 60 && seenAt < 0 && told.estimate.half > 1.5 * 30 * 0.275 / 3)
         seenAt = now - 60;
-      comes = now + gap * chance.between(0.5, 1.5);
+      comes = now + gap * chance.uniformBetween(0.5, 1.5);
     } else {
       now = std::max(free, now);
       waits.at(now);
@@ -477,19 +477,19 @@
 namespace {
 
 struct BudgetScene : Scene {
-  BudgetScene(Settings given, const Plan& plan) : Scene(given), office(plan, given.gateways) {
+  BudgetScene(Settings given, const Plan& plan) : Scene(given), office(plan, given.gatewayCount) {
     commands.clear(), wakes.clear();
-    gateway = openGateway(settings, 7, *this, &office);
-    gateway->at(now);
+    policy = createPolicy(settings, 7, *this, &office);
+    policy->advanceTo(now);
   }
-  ~BudgetScene() { gateway.reset(), commands.clear(); }
+  ~BudgetScene() { policy.reset(), commands.clear(); }
   Office office;
 };
 
 Settings patient() {
   auto site = Scene::site();
   for (auto& profile : site.profiles)
-    profile.target = 60, profile.clientTimeout = 100;
+    profile.latencyTarget = 60, profile.clientTimeout = 100;
   return site;
 }
 
@@ -512,8 +512,8 @@
     scene->nodes({1});
     auto press = [&] {
       scene->take("waits", "quick", 0.1, "south");
-      scene->commands["waits"]->note(Topic::waits, 1);
-      scene->ends("waits", Outcome::unused, 0, true);
+      scene->commands["waits"]->statusReported(StatusTopic::queued, 1);
+      scene->ends("waits", Outcome::notStarted, 0, true);
       scene->commands["waits"]->withdrawn();
     };
     press();
@@ -551,7 +551,7 @@
   BudgetScene scene(site, planOf({north, entry("south", 0)}));
   scene.nodes({1});
   scene.take("waits", "quick", 0.1, "south");
-  scene.commands["waits"]->note(Topic::waits, 1);
+  scene.commands["waits"]->statusReported(StatusTopic::queued, 1);
   for (int i = 0; i < 300; ++i)
     scene.take("s" + std::to_string(i), "quick", 0.2, "south");
   for (int i = 0; i < 4; ++i)
@@ -573,7 +573,7 @@
   for (auto how : {Preempt::lower, Preempt::cancel}) {
     auto site = patient();
     site.tenants = {{"north", 0.5, 0}, {"south", 0.5, 0}};
-    site.priorities = true, site.cancel = how == Preempt::cancel;
+    site.prioritiesSupported = true, site.cancelSupported = how == Preempt::cancel;
     Plan plan = planOf({entry("north", 6), entry("south", 0)});
     plan.preempt = how, plan.preemptAfter = 0.1;
     BudgetScene scene(site, plan);
@@ -581,12 +581,12 @@
     for (int i = 0; i < 40; ++i)
       scene.take("s" + std::to_string(i), i == 39 ? "load" : "quick", 2, "south");
     scene.take("waits", "quick", 0.1, "south");
-    scene.commands["waits"]->note(Topic::waits, 1);
+    scene.commands["waits"]->statusReported(StatusTopic::queued, 1);
     for (int i = 0; i < 5; ++i)
       scene.take("n" + std::to_string(i), "quick", 2, "north");
     scene.trace.str("");
     for (double until = 100.1; until < 101; until += 0.05) {
-      scene.commands["waits"]->note(Topic::waits, 1);
+      scene.commands["waits"]->statusReported(StatusTopic::queued, 1);
       scene.to(until);
     }
     std::string told = scene.trace.str();
@@ -603,7 +603,7 @@
   BudgetScene scene(Scene::site(), planOf({none}));
   scene.nodes({1});
   scene.take("never", "quick", 0.1, "north");
-  scene.now = 99, scene.gateway->at(99), scene.gateway->settle();
+  scene.now = 99, scene.policy->advanceTo(99), scene.policy->decide();
   scene.now = 100;
   scene.to(106);
   CHECK(scene.trace.str().find("shed never") != std::string::npos);
@@ -629,12 +629,12 @@
   CHECK_EQ(right.work(101), doctest::Approx(0.2));  // no more than its burst
 
   Office office(plan, 10);
-  office.at(100);
+  office.advanceTo(100);
   office.share({{1, {{105, 3}, {102, 2}}}});
   auto cores = [&] { return office.tree().find("a")->right.rate; };
   CHECK_EQ(cores(), 6);
-  office.at(102);
+  office.advanceTo(102);
   CHECK_EQ(cores(), 4);
-  office.at(700);  // however long nothing came
+  office.advanceTo(700);  // however long nothing came
   CHECK_EQ(cores(), 1);
 }
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -24,7 +24,7 @@
 
 struct Member final : QuietOutlet {  // one gateway: its clock is off by as much as the protocol allows for
   Member(const Settings& settings, uint64_t seed, double skew, std::vector<Landed>& landed)
-      : off(skew), landed(landed), gateway(openGateway(settings, seed, *this)) {}
+      : off(skew), landed(landed), policy(createPolicy(settings, seed, *this)) {}
   void send(Command& command, uint32_t node, double, double) override {
     double work = works.at(&command);
     ends.push({now + (node == kCold ? 2.5 : 1) * work, &command});
@@ -36,25 +36,25 @@
 
   void step(double time, double arrivals, Pcg32& chance) {
     now = time;
-    gateway->at(time + off);
+    policy->advanceTo(time + off);
     while (!ends.empty() && ends.top().first <= time) {
       Command* command = ends.top().second;
       ends.pop();
-      Bill bill{works.at(command), 0};
-      command->outcome(Outcome::answered, bill.work, true, &bill, nullptr);
+      ResourceUsage usage{works.at(command), 0};
+      command->sendFinished(Outcome::answered, usage.work, true, &usage, nullptr);
       works.erase(command), held.erase(command);
     }
     for (due += arrivals; due >= 1; --due) {
-      double work = -std::log(1 - chance.unit()) * kMean;
-      auto command = gateway->take({"quick", "north", chance.next() % 8, {}, work, 0, 5});
+      double work = -std::log(1 - chance.uniform()) * kMean;
+      auto command = policy->submit({"quick", "north", chance.next() % 8, {}, work, 0, 5});
       works[command.get()] = work, held[command.get()] = command;
     }
-    gateway->settle();
+    policy->decide();
   }
 
   double off, now = 0, due = 0;
   std::vector<Landed>& landed;
-  std::unique_ptr<Gateway> gateway;
+  std::unique_ptr<Policy> policy;
   std::map<Command*, double> works;
   std::map<Command*, std::shared_ptr<Command>> held;
   using End = std::pair<double, Command*>;
@@ -65,10 +65,11 @@
 double most(int gateways, uint64_t seed, double& sum) {
   Settings set;
   Profile quick;
-  quick.name = "quick", quick.target = 1, quick.targetStretch = 2, quick.clientTimeout = 5, quick.benefit = 1;
-  set.profiles = {quick}, set.tenants = {{"north", 1, 0}}, set.kinds = {{"eight", 8, 0}};
-  set.gateways = gateways, set.maxSends = 3;
-  set.coldFrom = 0.4, set.coldTime = 10, set.fallMultiple = 2, set.fallTime = 1.5;
+  quick.name = "quick", quick.latencyTarget = 1, quick.latencyTargetStretch = 2, quick.clientTimeout = 5,
+  quick.benefit = 1;
+  set.profiles = {quick}, set.tenants = {{"north", 1, 0}}, set.engineKinds = {{"eight", 8, 0}};
+  set.gatewayCount = gateways, set.maxSends = 3;
+  set.coldCapacity = 0.4, set.coldDuration = 10, set.coldOverloadFactor = 2, set.coldOverloadWindow = 1.5;
   Pcg32 chance(seed);
   std::vector<Landed> landed;
   std::vector<std::unique_ptr<Member>> members;
@@ -77,32 +78,33 @@
   for (int i = 0; i < gateways; ++i) {
     set.ordinal = i;
     members.push_back(
-        std::make_unique<Member>(set, seed * 1000 + uint64_t(i), chance.between(-0.05, 0.05), landed));
-    parts += part.emplace_back(0.2 + 2 * std::pow(chance.unit(), 3));
+        std::make_unique<Member>(set, seed * 1000 + uint64_t(i), chance.uniformBetween(-0.05, 0.05), landed));
+    parts += part.emplace_back(0.2 + 2 * std::pow(chance.uniform(), 3));
   }
   double rate =
       0.9 * 5 * 8 / kMean;  // commands a second: five engines are all but full, and four of them go at once
   for (double time = 100; time < 112; time += 0.01)
     for (size_t i = 0; i < members.size(); ++i) {
       if (time == 100 || (time >= 103 && time < 103.005)) {
-        members[i]->gateway->at(time + members[i]->off);
-        std::vector<NodeRow> rows;
+        members[i]->policy->advanceTo(time + members[i]->off);
+        std::vector<EngineRecord> rows;
         for (uint32_t id = time < 103 ? 2 : 1; id <= (time < 103 ? 6 : 2); ++id)
-          rows.push_back({id, "a", "eight", 0, NodeState::inService, {}});
+          rows.push_back({id, "a", "eight", 0, EngineState::inService, {}});
         if (time >= 103)
           rows.front().startedAt = 103;  // in each one's own clock, as the list tells it
-        members[i]->gateway->list(ListKind::full, rows);
+        members[i]->policy->updateEngines(EngineListKind::full, rows);
       }
       members[i]->step(time, rate * part[i] / parts * 0.01, chance);
     }
-  double allowed = set.fallMultiple * set.coldFrom * 8 * set.fallTime / kMean, window = 0, worst = 0;
+  double allowed = set.coldOverloadFactor * set.coldCapacity * 8 * set.coldOverloadWindow / kMean, window = 0,
+         worst = 0;
   sum = 0;
   std::deque<Landed> in;
   for (auto& one : landed) {  // in the order of time, which is the fleet's
-    if (one.at > 103 + set.coldTime / 2)
+    if (one.at > 103 + set.coldDuration / 2)
       break;  // by then what is allowed has grown
     in.push_back(one), window += one.work / kMean, sum += one.work;
-    for (; in.front().at <= one.at - set.fallTime; in.pop_front())
+    for (; in.front().at <= one.at - set.coldOverloadWindow; in.pop_front())
       window -= in.front().work / kMean;
     worst = std::max(worst, window);
   }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -20,7 +20,7 @@
 Scenario one() {  // a team, a non-replayable profile
   Scenario scene;
   Profile load;
-  load.name = "load", load.effect = Effect::nonReplayable, load.clientTimeout = 5;
+  load.name = "load", load.retrySafety = RetrySafety::nonReplayable, load.clientTimeout = 5;
   scene.settings.profiles = {load}, scene.teams = {{"a", 1, 0, 1, 1, {}}};
   scene.settings.maxSends = 3, scene.lasts = 100;
   return scene;
@@ -136,7 +136,7 @@
 TEST_CASE("a view bounds who uses an engine; a zone alone is lost, and a roll replaces its part in steps") {
   Scenario scene = readScenario(std::string(SCENARIOS) + "view-small.json");
   scene.lasts = 12, scene.troubles.clear(), scene.view->users = scene.view->mostUsers = 4;
-  scene.fleet.gateways = scene.settings.gateways = 24;
+  scene.fleet.gateways = scene.settings.gatewayCount = 24;
   auto mostUsers = [&](const char* variant) {
     return figuresOf(scene, play(scene, 1, variantNamed(variant))).at("engines.users.most");
   };
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -283,12 +283,12 @@
     int count = 3 + int(chance.next() % 22);
     Gossip fleet(Gossip::plan(count), uint64_t(seed));
     fleet.startAll();
-    fleet.weather.loss = chance.between(0, 0.2), fleet.weather.copies = chance.between(0, 0.2);
-    fleet.weather.most = chance.between(0.002, 0.1);
+    fleet.weather.loss = chance.uniformBetween(0, 0.2), fleet.weather.copies = chance.uniformBetween(0, 0.2);
+    fleet.weather.most = chance.uniformBetween(0.002, 0.1);
     auto any = [&] { return int(chance.next() % uint32_t(count)); };
     std::vector<bool> paused(static_cast<size_t>(count));
     for (int step = 0; step < 25; ++step) {
-      fleet.run(fleet.now() + chance.between(0.1, 3));
+      fleet.run(fleet.now() + chance.uniformBetween(0.1, 3));
       int who = any();
       bool dead = !fleet.runs(who) && !paused[size_t(who)];
       switch (chance.next() % 7) {
@@ -297,7 +297,7 @@
             fleet.kill(who), paused[size_t(who)] = false;
           break;
         case 1:
-          fleet.kill(who), fleet.start(who, chance.between(-5, 5)), paused[size_t(who)] = false;
+          fleet.kill(who), fleet.start(who, chance.uniformBetween(-5, 5)), paused[size_t(who)] = false;
           break;
         case 2:
           if (fleet.runs(who))
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -348,7 +348,7 @@
 TEST_CASE("a request becomes a command, or a status with a reason") {
   Settings settings;
   settings.profiles.resize(2);
-  settings.profiles[0].name = "report", settings.profiles[0].effect = Effect::uniqued;
+  settings.profiles[0].name = "report", settings.profiles[0].retrySafety = RetrySafety::deduplicated;
   settings.profiles[1].name = "quick";
   settings.tenants = {{"acme", 1, 0}};
   Reading good = readAsk(request(), settings, 10);
@@ -367,9 +367,9 @@
   CHECK_EQ(status({{"req-cost", "-"}, {"x-ram", "-"}, {"req-key", "-"}}), 0);
   CHECK_EQ(status({{"req-token", "-"}}, "/do/quick"), 0);
   CHECK_EQ(status({}, "/do/other"), 404);
-  settings.kinds = {{"std", 8, 9}};
+  settings.engineKinds = {{"std", 8, 9}};
   CHECK_EQ(status({}), 400);  // more than ten times what the largest engine has
-  settings.kinds.clear();
+  settings.engineKinds.clear();
   for (auto name : {"req-id", "req-wait-ms", "req-owner", "req-token"})
     CHECK_EQ(status({{name, "-"}}), 400);
   for (auto& [name, value] :
@@ -403,7 +403,7 @@
   CHECK(config.known[0].whole);
   CHECK_EQ(config.known[0].rows[0].row.id, 0xc41f7a);
   CHECK_EQ(config.known[0].rows[0].bornMs, 5);
-  CHECK_EQ(int(config.known[1].rows[0].row.state), int(NodeState::gone));
+  CHECK_EQ(int(config.known[1].rows[0].row.state), int(EngineState::removed));
   CHECK_EQ(config.known[2].number, 3);  // so many are known, though the last ones held no news
 }
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -12,13 +12,13 @@
 Settings patient() {
   auto site = Scene::site();
   for (auto& profile : site.profiles)
-    profile.target = 60, profile.clientTimeout = 100;
+    profile.latencyTarget = 60, profile.clientTimeout = 100;
   return site;
 }
 void press(Scene& scene) {
   scene.take("waits", "quick", 0.1);
-  scene.commands["waits"]->note(Topic::waits, 1);
-  scene.ends("waits", Outcome::unused, 0, true);
+  scene.commands["waits"]->statusReported(StatusTopic::queued, 1);
+  scene.ends("waits", Outcome::notStarted, 0, true);
   scene.commands["waits"]->withdrawn();
 }
 
@@ -28,7 +28,7 @@
   // A leaf that waits after a lost draw once lost its turns too: shares came out equal.
   auto site = patient();
   for (auto& profile : site.profiles)
-    profile.target = 1000, profile.clientTimeout = 2000;
+    profile.latencyTarget = 1000, profile.clientTimeout = 2000;
   Scene scene(site);
   scene.nodes({1});
   press(scene);
@@ -85,16 +85,16 @@
 TEST_CASE("rule 2: a non-replayable command that may have run gets neither a further send nor a shed") {
   Scene scene(Scene::site());
   scene.nodes({1, 2, 3});
-  scene.take("refused", "load", 1), scene.ends("refused", Outcome::full);
+  scene.take("refused", "load", 1), scene.ends("refused", Outcome::overloaded);
   scene.take("failed", "load", 1), scene.ends("failed", Outcome::error);
-  scene.take("late", "load", 1), scene.to(125), scene.ends("late", Outcome::expired, 25);
+  scene.take("late", "load", 1), scene.to(125), scene.ends("late", Outcome::timedOut, 25);
   scene.check("non_replayable");
 }
 
 TEST_CASE("rule 2: a uniqued command that may have run stays in its group and memory span") {
   auto site = Scene::site();
-  site.profiles[2].effect = Effect::uniqued, site.profiles[2].group = Group::zone,
-  site.profiles[2].memorySpan = 3;
+  site.profiles[2].retrySafety = RetrySafety::deduplicated,
+  site.profiles[2].deduplicationScope = DeduplicationScope::zone, site.profiles[2].deduplicationWindow = 3;
   Scene scene(site);
   scene.nodes({1, 2, 3, 4});  // odd ones in zone a, even ones in zone b
   scene.take("c", "load", 0.5);
@@ -108,7 +108,7 @@
 TEST_CASE("rule 3: nothing to a draining or gone node") {
   Scene scene(Scene::site());
   scene.nodes({1, 2});
-  scene.nodes({1}, NodeState::draining, {}, ListKind::changes);
+  scene.nodes({1}, EngineState::draining, {}, EngineListKind::delta);
   for (int i = 0; i < 6; ++i)
     scene.take(numbered("c", i), "quick", 0.1, "north", i);
   CHECK_EQ(scene.sent[1], 0);
@@ -117,9 +117,9 @@
 
 TEST_CASE("rule 4: a cold node gets no more than our part of its budget, and nothing right after our start") {
   auto site = Scene::site();
-  site.gateways = 2;
+  site.gatewayCount = 2;
   Scene scene(site);
-  scene.nodes({1}, NodeState::inService, 99.5);
+  scene.nodes({1}, EngineState::inService, 99.5);
   for (int i = 0; i < 4; ++i)
     scene.take(numbered("early", i), "quick", 0.3);
   CHECK_EQ(scene.sent[1], 0);  // an earlier life may have sent work there
@@ -138,19 +138,19 @@
   SUBCASE("300 gateways") { rounds = 5; }
   SUBCASE("1,024 gateways") { rounds = 1; }
   auto site = patient();
-  site.gateways = rounds > 1 ? 300 : 1024;
+  site.gatewayCount = rounds > 1 ? 300 : 1024;
   double most = 0, all = 0;
   for (uint64_t round = 0; round < uint64_t(rounds); ++round) {
     std::map<int, double> sent;  // by tenths of a second
-    for (int who = 0; who < site.gateways; ++who) {
+    for (int who = 0; who < site.gatewayCount; ++who) {
       site.ordinal = who;
       Scene scene(site, round * 1000 + who);
       uint32_t cold = 1 + uint32_t(round);
-      scene.nodes({cold}, NodeState::inService, 99.9);
+      scene.nodes({cold}, EngineState::inService, 99.9);
       int had = 0, taken = 0, crowd = who % 10 ? 4 : 40;  // as many wait at any time: unequal traffic
       for (int step = 0; step < 60; ++step) {
         if (step == 30)
-          scene.restart(), scene.nodes({cold}, NodeState::inService, 99.9);  // all of them at once
+          scene.restart(), scene.nodes({cold}, EngineState::inService, 99.9);  // all of them at once
         if (step % 30 == 0)
           taken = 0, had = scene.sent[cold];
         for (; taken - (scene.sent[cold] - had) < crowd; ++taken)
@@ -169,7 +169,7 @@
       most = std::max(most, window), all += window / 50 / rounds;
     }
   }
-  double budget = site.fallMultiple * site.coldFrom * 8 * site.fallTime;
+  double budget = site.coldOverloadFactor * site.coldCapacity * 8 * site.coldOverloadWindow;
   CHECK_LT(most, budget);
   CHECK_GT(all, 0.1 * budget);
 }
@@ -177,7 +177,7 @@
 TEST_CASE("where few sends come to each node a gateway keeps to a few, and all gateways to all") {
   // 300 gateways each spread 7 sends a second over 80 nodes: a connection a send, and each node known by hearsay.
   auto site = patient();
-  site.gateways = 300;
+  site.gatewayCount = 300;
   std::map<uint32_t, int> by;  // gateways that send there
   std::vector<uint32_t> ids;
   for (uint32_t id = 1; id <= 80; ++id)
@@ -201,7 +201,7 @@
 
 TEST_CASE("rule 5: one of a key at a time, in the order taken, after the quiet time") {
   auto site = Scene::site();
-  site.profiles[0].ordered = true, site.keyQuiet = 0.3;
+  site.profiles[0].ordered = true, site.keyQuietPeriod = 0.3;
   Scene scene(site);
   scene.nodes({1, 2});
   for (int i = 0; i < 3; ++i)
@@ -216,7 +216,7 @@
 
 TEST_CASE("rule 6: placement holds at every send, also when the allowed nodes are gone") {
   auto site = Scene::site();
-  site.profiles[0].zonesOpen = {"a"};
+  site.profiles[0].allowedZones = {"a"};
   Scene scene(site);
   scene.nodes({1, 2, 4});
   scene.take("c", "quick", 0.1), scene.ends("c", Outcome::error);
@@ -229,7 +229,7 @@
 
 TEST_CASE("rule 7: further sends stay in the budget") {
   auto site = Scene::site();
-  site.furtherSpan = 10, site.furtherFree = 2, site.furtherShare = 0;
+  site.retryBudgetWindow = 10, site.retryBudgetMinimum = 2, site.retryBudgetRatio = 0;
   Scene scene(site);
   scene.nodes({1, 2, 3});
   for (int i = 0; i < 6; ++i)
@@ -253,7 +253,7 @@
   scene.nodes({1, 2});
   scene.take("c", "quick", 0.1, "north", 9);
   uint32_t full = scene.at["c"];
-  scene.ends("c", Outcome::full);
+  scene.ends("c", Outcome::overloaded);
   for (int i = 0; i < 6; ++i)
     scene.take(numbered("d", i), "quick", 0.1, "north", 9);
   CHECK_EQ(scene.sent[full], 1);
@@ -310,7 +310,7 @@
 TEST_CASE("who would wait for a load keeps off its node") {
   // Most timed-out commands of an incident had stood behind a load of their group.
   auto site = Scene::site();
-  site.profiles[0].yields = true, site.profiles[2].load = true;
+  site.profiles[0].yieldsToBulkLoads = true, site.profiles[2].bulkLoad = true;
   Scene scene(site);
   scene.nodes({1, 2, 3});
   scene.take("load", "load", 2, "north", 5);
@@ -321,12 +321,12 @@
 
 TEST_CASE("under overload the dearest for their benefit are shed first, and no further send is made") {
   auto site = Scene::site();
-  site.profiles[1].target = 40, site.profiles[1].clientTimeout = 60;
+  site.profiles[1].latencyTarget = 40, site.profiles[1].clientTimeout = 60;
   Scene scene(site);
   scene.nodes({1, 2});
   scene.take("early", "dear", 1);
   for (int i = 0; i < 2; ++i)  // both nodes are full, and get nothing for a while
-    scene.take("refused", "quick", 0.1), scene.ends("refused", Outcome::full, 0, true);
+    scene.take("refused", "quick", 0.1), scene.ends("refused", Outcome::overloaded, 0, true);
   for (int i = 0; i < 8; ++i)
     scene.take(numbered("small", i), "dear", 1);
   for (int i = 0; i < 4; ++i)
@@ -344,9 +344,9 @@
   for (int round = 0; round < 20; ++round) {
     for (int i = 0; i < 200; ++i)
       scene.take(numbered("c", i), "quick", 0.01, "north", 1, {}, 0, 1);
-    Bill bill{0.01, 4};
+    ResourceUsage usage{0.01, 4};
     for (int i = 0; i < 200; ++i)
-      scene.commands[numbered("c", i)]->outcome(Outcome::answered, 0.01, true, &bill, nullptr);
+      scene.commands[numbered("c", i)]->sendFinished(Outcome::answered, 0.01, true, &usage, nullptr);
     scene.to(scene.now + 0.5);
   }
   scene.sent.clear();
@@ -365,7 +365,7 @@
     if (scene.at[c] != 2 || i % 4 == 0)
       scene.ends(c, Outcome::answered, 0.05);
     else
-      scene.commands[c]->note(Topic::progress, 0.1);
+      scene.commands[c]->statusReported(StatusTopic::progress, 0.1);
   }
   CHECK_NE(scene.trace.str().find("node 2 rests: it fails"), std::string::npos);
   CHECK_EQ(scene.trace.str().find("node 1 rests"), std::string::npos);
@@ -374,7 +374,7 @@
 TEST_CASE("with many gateways an empty node is drawn for, not taken for granted") {
   // Eleven gateways each put a wide command on a node that was empty of their own.
   auto site = patient();
-  site.gateways = 11, site.profiles[1].threads = 4;
+  site.gatewayCount = 11, site.profiles[1].threads = 4;
   Scene scene(site);
   scene.nodes({1});
   int started = 0;
@@ -397,7 +397,7 @@
 TEST_CASE("sends of one group spread over the fleet where few come to a node") {
   // Hundreds of gateways share a rank, and each saw the first in rank idle: it held five times the mean.
   auto site = Scene::site();
-  site.gateways = 50;
+  site.gatewayCount = 50;
   Scene scene(site);
   scene.nodes({1, 2, 3, 4, 5, 6, 7, 8});
   for (int i = 0; i < 64; ++i, scene.to(scene.now + 0.25)) {
@@ -411,7 +411,8 @@
 TEST_CASE("what nodes report stands beside what one gateway of many happens to have out") {
   // One wide command out, times 299 others: its profile started nowhere, with nodes half empty.
   auto site = patient();
-  site.gateways = 300, site.probing = true, site.shortMemory = ShortMemory::overcommit;
+  site.gatewayCount = 300, site.probingSupported = true,
+  site.memoryShortagePolicy = MemoryShortagePolicy::overcommit;
   Scene scene(site);
   std::vector<uint32_t> ids;
   for (uint32_t id = 1; id <= 20; ++id)
@@ -420,10 +421,10 @@
   press(scene);
   for (int i = 0; i < 40; ++i) {  // others have two in hand on each node
     scene.take(numbered("c", i), "quick", 0.2, "north", i, {}, 0, 350);
-    Report report;
-    report.inHand = 2, report.waiting = 1;  // which shows pressure
+    LoadReport report;
+    report.inFlight = 2, report.queued = 1;  // which shows pressure
     for (uint32_t id : ids)
-      scene.gateway->probed(id, Outcome::answered, &report);
+      scene.policy->probeFinished(id, Outcome::answered, &report);
     scene.to(scene.now + 0.1);
     if (scene.at.count(numbered("c", i)))
       scene.ends(numbered("c", i), Outcome::answered, 0.2);
@@ -439,12 +440,12 @@
   // Many gateways filled engines two to three times; later, on quiet days, two commands looked like a full fleet.
   for (bool pressure : {false, true}) {
     auto site = Scene::site();
-    site.gateways = 20;
+    site.gatewayCount = 20;
     Scene scene(site);
     scene.nodes({1, 2, 3, 4, 5, 6, 7, 8, 9, 10});
     for (int i = 0; pressure && scene.sent.size() < 10; ++i) {
       scene.take(numbered("p", i), "quick", 0.1, "north", i);
-      scene.commands[numbered("p", i)]->note(Topic::waits, 1);
+      scene.commands[numbered("p", i)]->statusReported(StatusTopic::queued, 1);
     }
     for (auto& [name, node] : std::exchange(scene.at, {}))
       scene.ends(name, Outcome::answered, 0.1);
@@ -482,7 +483,7 @@
     auto c = numbered("c", i);
     scene.take(c, "quick", 0.1);
     if (scene.at.erase(c))
-      scene.ends(c, Outcome::full, 0.001, true);
+      scene.ends(c, Outcome::overloaded, 0.001, true);
     else
       scene.commands[c]->withdrawn();
   }
@@ -493,11 +494,11 @@
 TEST_CASE("the best held command is not shed for room") {
   // A gateway of many holds one command or two: it shed the last one though only a place was wanting.
   auto site = Scene::site();
-  site.gateways = 50;
+  site.gatewayCount = 50;
   Scene scene(site);
   scene.nodes({1});
   scene.take("first", "quick", 0.1);
-  scene.ends("first", Outcome::full, 0.001, true);
+  scene.ends("first", Outcome::overloaded, 0.001, true);
   scene.take("small", "dear", 0.5), scene.take("large", "dear", 1.5);
   scene.to(100.12);
   CHECK_NE(scene.trace.str().find("shed large"), std::string::npos);
@@ -508,17 +509,17 @@
   // With many gateways the others' load is a guess that uneven traffic makes wrong; a report replaces it.
   for (bool probing : {false, true}) {
     auto site = Scene::site();
-    site.gateways = 30, site.probing = probing;
+    site.gatewayCount = 30, site.probingSupported = probing;
     Scene scene(site);
     scene.nodes({1, 2, 3, 4});
     for (int i = 0; i < 60; ++i, scene.to(scene.now + 0.2)) {
       scene.take(numbered("c", i), "quick", 0.1, "north", i);
       scene.ends(numbered("c", i), Outcome::answered, 0.1);
-      Report busy, idle;
-      busy.inHand = 40, idle.inHand = 0;
+      LoadReport busy, idle;
+      busy.inFlight = 40, idle.inFlight = 0;
       if (probing)
         for (uint32_t node : {1, 2, 3, 4})
-          scene.gateway->probed(node, Outcome::answered, node == 2 ? &busy : &idle);
+          scene.policy->probeFinished(node, Outcome::answered, node == 2 ? &busy : &idle);
     }
     std::string trace = scene.trace.str();
     int probes = 0;
@@ -539,9 +540,9 @@
   }
   scene.to(scene.now + 0.2);
   REQUIRE_NE(scene.trace.str().find("node 1 rests"), std::string::npos);
-  scene.nodes({1}, NodeState::gone, {}, ListKind::changes);
+  scene.nodes({1}, EngineState::removed, {}, EngineListKind::delta);
   scene.to(scene.now + 6);
-  scene.nodes({1}, NodeState::inService, {}, ListKind::changes);
+  scene.nodes({1}, EngineState::inService, {}, EngineListKind::delta);
   scene.sent.clear();
   for (int i = 0; i < 8; ++i)
     scene.take(numbered("d", i), "quick", 0.1, "north", uint64_t(i));
@@ -561,7 +562,7 @@
 
 TEST_CASE("a load whose group is busy on all nodes holds up no load of another group") {
   auto site = Scene::site();
-  site.profiles[2].load = true;
+  site.profiles[2].bulkLoad = true;
   Scene scene(site);
   scene.nodes({1, 2});
   for (int i = 0; i < 4; ++i)
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -73,7 +73,7 @@
       if (answer.topic)
         told += " note " + std::to_string(int(*answer.topic)) + "=" + std::to_string(answer.level);
       if (answer.report)
-        told += " in hand " + std::to_string(answer.report->inHand.value_or(-1));
+        told += " in hand " + std::to_string(answer.report->inFlight.value_or(-1));
       if (answer.bill)
         told += " work " + std::to_string(answer.bill->work);
       told += ";";
--- a/tests/quiet_outlet.h
+++ b/tests/quiet_outlet.h
@@ -6,12 +6,12 @@
 
 namespace elmcleat {
 
-struct QuietOutlet : Outlet {
-  void terms(Command&, int, double) override {}
+struct QuietOutlet : ActionSink {
+  void setPriorityAndMemory(Command&, int, double) override {}
   void cancel(Command&, int) override {}
   void probe(uint32_t) override {}
-  void followList() override {}
-  void wake(double) override {}
+  void requestEngineList() override {}
+  void scheduleWakeUp(double) override {}
   void log(const std::string&) override {}
 };
 
--- a/tests/scene.h
+++ b/tests/scene.h
@@ -13,7 +13,7 @@
 
 namespace elmcleat {
 
-struct Scene : Outlet {
+struct Scene : ActionSink {
   explicit Scene(Settings given, uint64_t chance = 7) : settings(std::move(given)), seed(chance) {
     restart();
   }
@@ -21,29 +21,32 @@
   static Settings site() {
     Settings set;
     Profile quick, dear, load;
-    quick.name = "quick", quick.target = 1, quick.targetStretch = 2, quick.clientTimeout = 5,
+    quick.name = "quick", quick.latencyTarget = 1, quick.latencyTargetStretch = 2, quick.clientTimeout = 5,
     quick.benefit = 1;
-    dear.name = "dear", dear.target = 2, dear.targetStretch = 2.5, dear.clientTimeout = 15, dear.benefit = 8;
-    dear.threads = 2, dear.lateShare = 0.3;
-    load.name = "load", load.target = 4, load.targetStretch = 3, load.clientTimeout = 25, load.benefit = 5;
-    load.effect = Effect::nonReplayable, load.lateShare = 0.5;
+    dear.name = "dear", dear.latencyTarget = 2, dear.latencyTargetStretch = 2.5, dear.clientTimeout = 15,
+    dear.benefit = 8;
+    dear.threads = 2, dear.lateBenefitShare = 0.3;
+    load.name = "load", load.latencyTarget = 4, load.latencyTargetStretch = 3, load.clientTimeout = 25,
+    load.benefit = 5;
+    load.retrySafety = RetrySafety::nonReplayable, load.lateBenefitShare = 0.5;
     set.profiles = {quick, dear, load};
     set.tenants = {{"north", 0.75, 0}, {"south", 0.25, 0}};
-    set.kinds = {{"eight", 8, 16000}};
-    set.maxSends = 6, set.coldFrom = 0.4, set.coldTime = 10, set.fallMultiple = 2, set.fallTime = 1;
+    set.engineKinds = {{"eight", 8, 16000}};
+    set.maxSends = 6, set.coldCapacity = 0.4, set.coldDuration = 10, set.coldOverloadFactor = 2,
+    set.coldOverloadWindow = 1;
     return set;
   }
   void restart() {
-    commands.clear(), at.clear(), wakes.clear(), gateway = openGateway(settings, seed, *this),
-                                                 gateway->at(now);
+    commands.clear(), at.clear(), wakes.clear(), policy = createPolicy(settings, seed, *this),
+                                                 policy->advanceTo(now);
   }
 
-  void nodes(std::vector<uint32_t> ids, NodeState state = NodeState::inService,
-             std::optional<double> started = {}, ListKind kind = ListKind::full) {
-    std::vector<NodeRow> rows;
+  void nodes(std::vector<uint32_t> ids, EngineState state = EngineState::inService,
+             std::optional<double> started = {}, EngineListKind kind = EngineListKind::full) {
+    std::vector<EngineRecord> rows;
     for (uint32_t id : ids)
       rows.push_back({id, id % 2 ? "a" : "b", "eight", 0, state, started});
-    gateway->list(kind, rows), gateway->settle();
+    policy->updateEngines(kind, rows), policy->decide();
   }
   void take(const std::string& name, const std::string& profile, double work,
             const std::string& tenant = "north", uint64_t tables = 1, std::optional<uint64_t> key = {},
@@ -51,18 +54,18 @@
     for (auto& p : settings.profiles)
       if (p.name == profile && left == 0)
         left = p.clientTimeout;
-    commands[name] = gateway->take({profile, tenant, tables, key, work, memory, left}), gateway->settle();
+    commands[name] = policy->submit({profile, tenant, tables, key, work, memory, left}), policy->decide();
   }
   void ends(const std::string& name, Outcome what, double took = 0.01, bool final = false) {
-    commands.at(name)->outcome(what, took, final || what == Outcome::answered, nullptr, nullptr);
-    gateway->settle();
+    commands.at(name)->sendFinished(what, took, final || what == Outcome::answered, nullptr, nullptr);
+    policy->decide();
   }
   void to(double time) {  // fires what wakes on the way
     while (!wakes.empty() && wakes.begin()->first <= time) {
       now = std::max(now, wakes.begin()->first), wakes.erase(wakes.begin());
-      gateway->at(now), gateway->settle();
+      policy->advanceTo(now), policy->decide();
     }
-    now = time, gateway->at(now);
+    now = time, policy->advanceTo(now);
   }
   std::string name(Command& command) const {
     for (auto& [known, held] : commands)
@@ -82,7 +85,7 @@
     print("%.3f send %s to %u, time-out %.2f", now, name(c).c_str(), node, timeout);
     ++sent[node], at[name(c)] = node;
   }
-  void terms(Command& c, int rank, double mb) override {
+  void setPriorityAndMemory(Command& c, int rank, double mb) override {
     print("%.3f terms %s %d, %.0f MB", now, name(c).c_str(), rank, mb);
   }
   void cancel(Command& c, int send) override { print("%.3f cancel %s send %d", now, name(c).c_str(), send); }
@@ -91,8 +94,8 @@
   }
   void fail(Command& c) override { print("%.3f fail %s", now, name(c).c_str()); }
   void probe(uint32_t node) override { print("%.3f probe %u", now, node); }
-  void followList() override { print("%.3f follow the list", now); }
-  void wake(double when) override { wakes[when] = true; }
+  void requestEngineList() override { print("%.3f follow the list", now); }
+  void scheduleWakeUp(double when) override { wakes[when] = true; }
   void log(const std::string& line) override { print("%.3f log: %s", now, line.c_str()); }
 
   // The trace against the kept one; ELMCLEAT_KEEP=1 keeps the new one, to be read before it is committed.
@@ -114,7 +117,7 @@
   std::map<uint32_t, int> sent;
   std::map<double, bool> wakes;
   std::ostringstream trace;
-  std::unique_ptr<Gateway> gateway;
+  std::unique_ptr<Policy> policy;
 };
 
 }  // namespace elmcleat
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -148,11 +148,11 @@
     Pcg32 chance{uint64_t(seed)};
     int count = 2 + int(chance.next() % 24);
     Lending fleet(terms(count, {100, 7}), uint64_t(seed), 0.02);
-    fleet.loss = chance.between(0, 0.3), fleet.copies = chance.between(0, 0.3);
-    fleet.lateShare = chance.between(0, 0.5), fleet.late = chance.between(0, 6);
+    fleet.loss = chance.uniformBetween(0, 0.3), fleet.copies = chance.uniformBetween(0, 0.3);
+    fleet.lateShare = chance.uniformBetween(0, 0.5), fleet.late = chance.uniformBetween(0, 6);
     auto any = [&] { return int(chance.next() % uint32_t(count)); };
     for (int step = 0; step < 60; ++step) {
-      fleet.run(fleet.now() + chance.between(0.01, 1));
+      fleet.run(fleet.now() + chance.uniformBetween(0.01, 1));
       int who = any();
       switch (chance.next() % 6) {
         case 0:
@@ -168,7 +168,7 @@
           fleet.cut(who, any(), chance.next() % 2);
           break;
         default:
-          fleet.want(who, chance.next() % 2, chance.next() % 3 ? chance.between(0, 60) : 0);
+          fleet.want(who, chance.next() % 2, chance.next() % 3 ? chance.uniformBetween(0, 60) : 0);
       }
     }
     REQUIRE_EQ(fleet.broken(), "");
--- a/tests/view_cases_test.cpp
+++ b/tests/view_cases_test.cpp
@@ -19,7 +19,7 @@
     for (auto& [id, told] : before.engines)
       here += !after.engines.contains(id);
     for (auto& [id, told] : after.engines)
-      gained += told.row.place.has_value() && !before.engines.contains(id);
+      gained += told.row.rank.has_value() && !before.engines.contains(id);
     lost += here, most = std::max(most, here);
   }
   double part =
@@ -82,7 +82,7 @@
     row.row.state = kIn, row.bornMs = int64_t(kBegin * 1000);
   one.changes(lost);  // and back, cold: by the first alone, until they are warm
   for (auto& [id, told] : one.engines)
-    CHECK((told.bornMs == 0 || told.row.place.has_value()));
+    CHECK((told.bornMs == 0 || told.row.rank.has_value()));
   CHECK_LE(one.view.wakes(), kBegin + kColdTime);
   one.until(kBegin + 100, [](double) {});
   CHECK_EQ(one.view.figures().reach, 10);
@@ -155,7 +155,7 @@
     rows.push_back(engineOf(id, true, false));
   one.whole(rows, kBegin + 200);  // enough among the first: nothing is kept any more
   for (auto& [id, near] : one.engines)
-    CHECK_GE(near.row.place.value_or(-1), 0);
+    CHECK_GE(near.row.rank.value_or(-1), 0);
 }
 
 TEST_CASE("what was found unfit is forgotten when it leaves the view") {
@@ -165,7 +165,7 @@
   for (auto& row : enginesOf(40))
     model.put(row);
   one.whole(enginesOf(40));
-  auto wide = std::ranges::find_if(one.engines, [](auto& told) { return !told.second.row.place; });
+  auto wide = std::ranges::find_if(one.engines, [](auto& told) { return !told.second.row.rank; });
   REQUIRE(wide != one.engines.end());
   uint32_t id = wide->first;
   one.view.rests(id, true);
@@ -181,7 +181,7 @@
   Plan plan{1, 40, 4, 0.5, 5};
   Dispatcher one(plan, 40, 0);
   one.whole(enginesOf(40));
-  auto wide = std::ranges::find_if(one.engines, [](auto& told) { return !told.second.row.place; });
+  auto wide = std::ranges::find_if(one.engines, [](auto& told) { return !told.second.row.rank; });
   REQUIRE(wide != one.engines.end());
   Listing row = wide->second;
   row.row.state = kDraining;
@@ -250,10 +250,10 @@
 TEST_CASE("what the module is told in place of the settings") {
   Settings few = View(planOf(8, 16, 4), settingsOf(200, 3)).local(),
            all = View(planOf(8, 16, 4), settingsOf(5, 3)).local();
-  CHECK_EQ(few.gateways, 8);
+  CHECK_EQ(few.gatewayCount, 8);
   CHECK_EQ(few.ordinal, -1);
   CHECK_EQ(few.tenants[0].quota, doctest::Approx(100.0 * 8 / 200));
-  CHECK_EQ(all.gateways, 5);
+  CHECK_EQ(all.gatewayCount, 5);
   CHECK_EQ(all.tenants[0].quota, 100);
 }
 
--- a/tests/view_cold_test.cpp
+++ b/tests/view_cold_test.cpp
@@ -30,16 +30,19 @@
 Settings settingsOf(int dispatchers, int ordinal) {
   Settings set;
   Profile quick;
-  quick.name = "quick", quick.target = 1, quick.targetStretch = 2, quick.clientTimeout = 5, quick.benefit = 1;
-  set.profiles = {quick}, set.tenants = {{"north", 1, 0}}, set.kinds = {{"eight", 8, 0}};
-  set.gateways = dispatchers, set.ordinal = ordinal, set.maxSends = 3;
-  set.coldFrom = 0.4, set.coldTime = kEnd - kStart, set.fallMultiple = 2, set.fallTime = 1.5;
+  quick.name = "quick", quick.latencyTarget = 1, quick.latencyTargetStretch = 2, quick.clientTimeout = 5,
+  quick.benefit = 1;
+  set.profiles = {quick}, set.tenants = {{"north", 1, 0}}, set.engineKinds = {{"eight", 8, 0}};
+  set.gatewayCount = dispatchers, set.ordinal = ordinal, set.maxSends = 3;
+  set.coldCapacity = 0.4, set.coldDuration = kEnd - kStart, set.coldOverloadFactor = 2,
+  set.coldOverloadWindow = 1.5;
   return set;
 }
 // What the settings allow in one window of an engine that has just started, in commands of mean work.
 double allowed(double mean) {
   Settings set = settingsOf(1, 0);
-  return set.fallMultiple * set.coldFrom * set.kinds.front().cores * set.fallTime / mean;
+  return set.coldOverloadFactor * set.coldCapacity * set.engineKinds.front().cores * set.coldOverloadWindow /
+         mean;
 }
 
 struct Landed {
@@ -67,27 +70,27 @@
   void open(const std::vector<Listing>& list) {
     for (; !ends.empty(); ends.pop())
       cold.inHand -= ends.top().isCold;
-    works.clear(), held.clear(), gateway.reset(), told = false;
+    works.clear(), held.clear(), policy.reset(), told = false;
     view = std::make_unique<view::View>(view::Plan{kUsers, 4 * kUsers, 8, 0.5, 30},
                                         settingsOf(dispatchers, number));
-    gateway = openGateway(view->local(), seed++, *this);
-    gateway->at(now + off);
-    hear({0, true, list}, ListKind::full);
+    policy = createPolicy(view->local(), seed++, *this);
+    policy->advanceTo(now + off);
+    hear({0, true, list}, EngineListKind::full);
   }
-  void hear(const ListEvent& event, ListKind kind = ListKind::changes) {
+  void hear(const ListEvent& event, EngineListKind kind = EngineListKind::delta) {
     for (auto& row : event.rows)
       told |= row.row.id == cold.id && row.bornMs > 0;
     show(view->apply(event, now + off), kind);
   }
-  void show(const std::vector<Listing>& changes, ListKind kind) {
-    std::vector<NodeRow> rows;
+  void show(const std::vector<Listing>& changes, EngineListKind kind) {
+    std::vector<EngineRecord> rows;
     for (auto& change : changes) {
-      NodeRow& row = rows.emplace_back(change.row);
+      EngineRecord& row = rows.emplace_back(change.row);
       if (change.bornMs > 0)
         row.startedAt = double(change.bornMs) / 1000;
     }
-    if (kind == ListKind::full || !rows.empty())
-      gateway->list(kind, rows);
+    if (kind == EngineListKind::full || !rows.empty())
+      policy->updateEngines(kind, rows);
   }
 
   // Every warm engine is overrun by all the others; the cold one says what it has in hand.
@@ -100,29 +103,29 @@
   }
   void shed(Command& command, double) override { works.erase(&command); }
   void fail(Command& command) override { works.erase(&command); }
-  void rests(uint32_t node, bool is) override { view->rests(node, is); }
+  void ejectionChanged(uint32_t node, bool is) override { view->rests(node, is); }
 
   void step(double time, double arrivals, double mean, Pcg32& chance) {
     now = time;
-    gateway->at(time + off);
+    policy->advanceTo(time + off);
     if (view->wakes() <= time + off)
-      show(view->tick(time + off), ListKind::changes);
+      show(view->tick(time + off), EngineListKind::delta);
     while (!ends.empty() && ends.top().at <= time) {
       auto [at, sent, command, isCold] = ends.top();
       ends.pop();
       cold.inHand -= isCold;
-      Bill bill{works.at(command), 0};
+      ResourceUsage usage{works.at(command), 0};
       double hand = isCold ? cold.inHand : 28, able = 8 * (isCold ? ColdEngine::speed(time) : 1);
-      Report report{hand, std::max(0.0, hand - 8), std::min(1.0, hand / able), {}, {}};
-      command->outcome(Outcome::answered, at - sent, true, &bill, &report);
+      LoadReport report{hand, std::max(0.0, hand - 8), std::min(1.0, hand / able), {}, {}};
+      command->sendFinished(Outcome::answered, at - sent, true, &usage, &report);
       works.erase(command), held.erase(command);
     }
     for (due += arrivals; due >= 1; --due) {
-      double work = -std::log(1 - chance.unit()) * mean;
-      auto command = gateway->take({"quick", "north", chance.next() % 64, {}, work, 0, 5});
+      double work = -std::log(1 - chance.uniform()) * mean;
+      auto command = policy->submit({"quick", "north", chance.next() % 64, {}, work, 0, 5});
       works[command.get()] = work, held[command.get()] = command;
     }
-    gateway->settle();
+    policy->decide();
   }
 
   int number, dispatchers;
@@ -131,7 +134,7 @@
   bool told = false;  // of the cold engine's start
   ColdEngine& cold;
   std::unique_ptr<view::View> view;
-  std::unique_ptr<Gateway> gateway;
+  std::unique_ptr<Policy> policy;
   std::map<Command*, double> works;
   std::map<Command*, std::shared_ptr<Command>> held;
   struct End {
@@ -157,7 +160,7 @@
   ColdEngine cold{first};
   auto listed = [&](uint32_t i, bool is) {
     Listing one;
-    one.row = {first + i, "a", "eight", 0, NodeState::inService, {}, {}};
+    one.row = {first + i, "a", "eight", 0, EngineState::inService, {}, {}};
     one.address = {0x7f000001, uint16_t(i + 1)};
     if (is && i % 100 < (wide ? 60 : 8))
       one.bornMs = int64_t(kStart * 1000);
@@ -176,11 +179,11 @@
   };
   std::vector<Member> members;
   auto add = [&](int ordinal, int of, bool outside) {
-    double skew = chance.between(-0.05, 0.05), late = chance.unit() < 0.1 ? 3 : 1;
+    double skew = chance.uniformBetween(-0.05, 0.05), late = chance.uniform() < 0.1 ? 3 : 1;
     members.push_back(
         {std::make_unique<Dispatcher>(ordinal, of, seed * 1000 + members.size() * 8, skew, cold),
-         ordinal % 10 == 0 ? 10 / 1.9 : 1 / 1.9, kStart + late * chance.unit(),
-         chance.unit() < 0.1 ? chance.between(kStart, kEnd) : HUGE_VAL, outside});
+         ordinal % 10 == 0 ? 10 / 1.9 : 1 / 1.9, kStart + late * chance.uniform(),
+         chance.uniform() < 0.1 ? chance.uniformBetween(kStart, kEnd) : HUGE_VAL, outside});
   };
   for (int ordinal = 0; ordinal <= kDispatchers; ++ordinal) {
     int of = kDispatchers + (ordinal == kDispatchers || (differ && chance.next() % 2));
@@ -205,7 +208,7 @@
       if (time == 100)
         its->open(before);
       if (time >= toldAt)
-        its->gateway->at(time + its->off), its->hear({1, true, after}), toldAt = HUGE_VAL;
+        its->policy->advanceTo(time + its->off), its->hear({1, true, after}), toldAt = HUGE_VAL;
       if (time >= restartAt)
         its->open(its->told ? after : before), restartAt = HUGE_VAL;
       size_t had = cold.landed.size();
@@ -214,7 +217,7 @@
       played.outsiders += outside && isCold && cold.landed.size() > had;
     }
   }
-  const double n = allowed(mean), span = settingsOf(1, 0).fallTime;
+  const double n = allowed(mean), span = settingsOf(1, 0).coldOverloadWindow;
   double window = 0, sum = 0;
   std::deque<Landed> in;
   for (auto& one : cold.landed) {
--- a/tests/view_scene.h
+++ b/tests/view_scene.h
@@ -17,15 +17,16 @@
 using namespace elmcleat::view;
 
 constexpr double kBegin = 1e9, kColdTime = 10;
-constexpr NodeState kIn = NodeState::inService, kDraining = NodeState::draining, kGone = NodeState::gone;
+constexpr EngineState kIn = EngineState::inService, kDraining = EngineState::draining,
+                      kGone = EngineState::removed;
 
 inline Settings settingsOf(int dispatchers, int ordinal) {
   Settings set;
-  set.gateways = dispatchers, set.ordinal = ordinal, set.coldTime = kColdTime;
+  set.gatewayCount = dispatchers, set.ordinal = ordinal, set.coldDuration = kColdTime;
   set.profiles.resize(4);
   set.profiles[0].name = "any", set.profiles[1].name = "east", set.profiles[2].name = "large";
-  set.profiles[1].zonesOpen = {"e"}, set.profiles[2].kindsOpen = {"xxl", "xl"};
-  set.profiles[3].name = "large too", set.profiles[3].kindsOpen = {"xl", "xxl"};
+  set.profiles[1].allowedZones = {"e"}, set.profiles[2].allowedKinds = {"xxl", "xl"};
+  set.profiles[3].name = "large too", set.profiles[3].allowedKinds = {"xl", "xxl"};
   set.tenants = {{"north", 1, 100}};
   return set;
 }
@@ -154,7 +155,7 @@
       if (!in)
         continue;
       auto& told = is.engines.at(id);
-      if (told.row.place.value_or(-1) != (place < base() ? place : -1))
+      if (told.row.rank.value_or(-1) != (place < base() ? place : -1))
         return "told with another place:" + at;
       if (told.address != one.address || told.bornMs != one.bornMs || told.row.zone != one.row.zone ||
           told.row.state != one.row.state)
--- a/tests/view_test.cpp
+++ b/tests/view_test.cpp
@@ -69,9 +69,9 @@
       one.take(one.view.tick(kBegin));
       for (auto& [id, told] : one.engines) {
         ++all[id];
-        if (told.row.place)
-          RC_ASSERT(users[id].insert(*told.row.place).second);
-        RC_ASSERT((told.row.place || id % 5 != 0));  // cold
+        if (told.row.rank)
+          RC_ASSERT(users[id].insert(*told.row.rank).second);
+        RC_ASSERT((told.row.rank || id % 5 != 0));  // cold
       }
       for (int which = 0; which < kClasses; ++which)
         bound = std::max(bound, model.boundOf(which));
