--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,7 +15,7 @@
 #include "runtime/scheduler.h"
 #include "serve/discovery.h"
 #include "serve/dispatcher.h"
-#include "serve/door.h"
+#include "serve/listener.h"
 #include "view/view.h"
 
 namespace elmcleat {
@@ -58,7 +58,7 @@
     return;
   try {
     GatewayConfig own = ownConfig(options);
-    dispatcher.change(own.budgets);
+    dispatcher.updateBudgets(own.budgets);
     if (own.members.has_value() != started.members.has_value())
       warn() << "members: as they were: they are switched at a start alone";
     if (own.view != started.view)
@@ -69,14 +69,14 @@
 }
 
 Task heedSignals(const Options& options, const Descriptor& signals, Signal& signal, Discovery& discovery,
-                 Dispatcher& dispatcher, Door& door, const GatewayConfig& started) {
+                 Dispatcher& dispatcher, Listener& listener, const GatewayConfig& started) {
   for (signalfd_siginfo heard;;) {
     while (read(signals.fd(), &heard, sizeof heard) != sizeof heard)
       co_await signal;
     if (heard.ssi_signo == SIGHUP)
       readAgain(options, discovery, dispatcher, started);
     else
-      door.drain();
+      listener.drain();
   }
 }
 
@@ -84,7 +84,7 @@
 void heedShared(Control& control, Dispatcher& dispatcher, Timer& again, const Clock& clock) {
   again.set(clock.now() + 0.02);
   const Told* told = control.usable();
-  dispatcher.share(told->usable, [&control, number = told->members.number](std::vector<double> wants) {
+  dispatcher.updateQuotas(told->usable, [&control, number = told->members.number](std::vector<double> wants) {
     control.want(std::move(wants));
     control.heeded(number);
   });
@@ -131,16 +131,16 @@
   Descriptor signals(scheduler, heeded, signal);
   Dispatcher dispatcher(scheduler, config.settings, config.seed, own.budgets, local);
   Discovery discovery(scheduler, config, dispatcher, std::move(seen));
-  Door door(scheduler, config, dispatcher);
-  discovery.evictBy([&door] { return door.evictIdle(); });
+  Listener listener(scheduler, config, dispatcher);
+  discovery.setEvictor([&listener] { return listener.evictIdle(); });
   dispatcher.start(discovery);
   discovery.start(std::exchange(config.known, {}));
   std::optional<Timer> look;
   auto heed = [&] { heedShared(*control, dispatcher, *look, clock); };
   if (sharing)
     look.emplace(scheduler, heed), heed();  // in force before the first command is taken
-  door.open();
-  Task heeding = heedSignals(options, signals, signal, discovery, dispatcher, door, own);
+  listener.open();
+  Task heeding = heedSignals(options, signals, signal, discovery, dispatcher, listener, own);
   heeding.start();
   if (control)
     control->watch(scheduler);
--- a/src/serve/link_room.h
+++ b/src/serve/connection_quota.h
@@ -16,68 +16,68 @@
 
 namespace elmcleat {
 
-class LinkRoom {
+class ConnectionQuota {
  public:
-  explicit LinkRoom(size_t most) : most_(most) {}
-  LinkRoom(const LinkRoom&) = delete;
-  LinkRoom& operator=(const LinkRoom&) = delete;
+  explicit ConnectionQuota(size_t most) : most_(most) {}
+  ConnectionQuota(const ConnectionQuota&) = delete;
+  ConnectionQuota& operator=(const ConnectionQuota&) = delete;
 
-  class Place {  // of one connection, for as long as this object lives
+  class Slot {  // of one connection, for as long as this object lives
    public:
     // `close` is called when it has to make room while idle.
-    Place(LinkRoom& room, std::function<void()> close) : room_(room), close_(std::move(close)) {
+    Slot(ConnectionQuota& room, std::function<void()> close) : room_(room), close_(std::move(close)) {
       ++room_.held_;
     }
-    Place(const Place&) = delete;
-    Place& operator=(const Place&) = delete;
-    ~Place() { leave(); }
-    void idle() {
+    Slot(const Slot&) = delete;
+    Slot& operator=(const Slot&) = delete;
+    ~Slot() { release(); }
+    void markIdle() {
       if (held_ && !idle_)
         idle_ = true, at_ = room_.idle_.insert(room_.idle_.end(), this);
-      room_.offer();
+      room_.notifyWaiter();
     }
-    void busy() {
+    void markBusy() {
       if (std::exchange(idle_, false))
         room_.idle_.erase(at_);
     }
 
    private:
-    friend class LinkRoom;
-    void leave() {
-      busy();
+    friend class ConnectionQuota;
+    void release() {
+      markBusy();
       if (!std::exchange(held_, false))
         return;
       --room_.held_;
-      room_.offer();
+      room_.notifyWaiter();
     }
-    LinkRoom& room_;
+    ConnectionQuota& room_;
     std::function<void()> close_;
-    std::list<Place*>::iterator at_;
+    std::list<Slot*>::iterator at_;
     bool held_ = true, idle_ = false;
   };
 
-  bool any() const { return held_ < most_ || !idle_.empty(); }
-  std::unique_ptr<Place> take(std::function<void()> close) {
+  bool hasFreeSlot() const { return held_ < most_ || !idle_.empty(); }
+  std::unique_ptr<Slot> acquire(std::function<void()> close) {
     while (held_ >= most_ && !idle_.empty()) {
-      Place& longest = *idle_.front();
-      longest.leave();
+      Slot& longest = *idle_.front();
+      longest.release();
       longest.close_();
     }
-    return std::make_unique<Place>(*this, std::move(close));
+    return std::make_unique<Slot>(*this, std::move(close));
   }
 
   // Descriptors may be short all the same: who else can give one up does. False: nobody.
-  std::function<bool()> evict = [] { return false; };
+  std::function<bool()> evictOther = [] { return false; };
 
   // Raised once when there may be a place; asked again by who finds none then.
-  void wait(Signal& signal) {
+  void addWaiter(Signal& signal) {
     if (std::ranges::find(waiting_, &signal) == waiting_.end())
       waiting_.push_back(&signal);
   }
-  void forget(Signal& signal) { std::erase(waiting_, &signal); }
+  void removeWaiter(Signal& signal) { std::erase(waiting_, &signal); }
   // To the first who waits, if there is a place.
-  void offer() {
-    if (waiting_.empty() || !any())
+  void notifyWaiter() {
+    if (waiting_.empty() || !hasFreeSlot())
       return;
     Signal* first = waiting_.front();
     waiting_.pop_front();
@@ -86,7 +86,7 @@
 
  private:
   size_t most_, held_ = 0;
-  std::list<Place*> idle_;  // the longest first
+  std::list<Slot*> idle_;  // the longest first
   std::deque<Signal*> waiting_;
 };
 
--- a/src/serve/discovery.cpp
+++ b/src/serve/discovery.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "runtime/log.h"
-#include "serve/close_reason.h"
+#include "serve/outcome.h"
 
 namespace elmcleat {
 namespace {
@@ -31,9 +31,9 @@
       timer_(scheduler, [this] { late_ = true, signal_.raise(); }),
       changeLog_(config.changeLog),
       reader_(config.links.zones, config.links.kinds),
-      view_(std::move(view)),
-      looks_(scheduler, [this] { look(); }),
-      room_(std::max(config.sockets / 3, kLeastLinks)) {}
+      subset_(std::move(view)),
+      subsetTimer_(scheduler, [this] { updateSubset(); }),
+      connectionQuota_(std::max(config.sockets / 3, kLeastLinks)) {}
 
 void Discovery::start(const std::vector<ListEvent>& known) {
   for (auto& event : known)
@@ -60,7 +60,8 @@
     within(config_.links.connectTimeout);
     moved_ = false;
     stream.connect(changeLog_);
-    if (stream.closeReason() == CloseReason::noDescriptor && !std::exchange(evicted, true) && room_.evict())
+    if (stream.closeReason() == CloseReason::noDescriptor && !std::exchange(evicted, true) &&
+        connectionQuota_.evictOther())
       continue;
     evicted = false;
     bool up = false, heard = false;
@@ -123,34 +124,36 @@
   last_ = event.number;
   if (!event.whole && event.rows.empty())
     return;
-  if (!view_) {
+  if (!subset_) {
     info() << "change log: event " << event.number << ", " << (event.whole ? "whole list" : "changes") << ", "
            << event.rows.size() << " engines named";
-    return use(event.rows, event.whole);
+    return updateEngines(event.rows, event.whole);
   }
-  heed(view_->apply(event, scheduler_.clock().unix(scheduler_.now())),
-       event.whole ? "whole list" : "changes");
+  applySubsetChanges(subset_->apply(event, scheduler_.clock().unix(scheduler_.now())),
+                     event.whole ? "whole list" : "changes");
 }
 
-void Discovery::look() { heed(view_->tick(scheduler_.clock().unix(scheduler_.now())), "its own width"); }
+void Discovery::updateSubset() {
+  applySubsetChanges(subset_->tick(scheduler_.clock().unix(scheduler_.now())), "its own width");
+}
 
 // What is out of view costs no line, actor, timer or row of the module.
-void Discovery::heed(const std::vector<Listing>& changes, const char* why) {
-  if (double at = view_->wakes(); at < HUGE_VAL)
-    looks_.set(scheduler_.clock().fromUnix(int64_t(at * 1e3) + 1));
+void Discovery::applySubsetChanges(const std::vector<Listing>& changes, const char* why) {
+  if (double at = subset_->wakes(); at < HUGE_VAL)
+    subsetTimer_.set(scheduler_.clock().fromUnix(int64_t(at * 1e3) + 1));
   else
-    looks_.clear();
-  for (auto& line : view_->lines())
+    subsetTimer_.clear();
+  for (auto& line : subset_->lines())
     warn() << line;
   if (changes.empty())
     return;
-  auto figures = view_->figures();
+  auto figures = subset_->figures();
   info() << "view: " << changes.size() << " engines change by " << why << ", event " << last_ << ": "
          << figures.used << " of " << figures.listed << " in use, reach " << figures.reach;
-  use(changes, false);
+  updateEngines(changes, false);
 }
 
-void Discovery::use(const std::vector<Listing>& listings, bool whole) {
+void Discovery::updateEngines(const std::vector<Listing>& listings, bool whole) {
   std::set<uint32_t> named;
   std::vector<EngineRecord> rows;
   for (auto& listing : listings) {
@@ -160,66 +163,67 @@
     named.insert(row.id);
     auto& engine = engines_[row.id];
     if (!engine)
-      engine = std::make_unique<Engine>(scheduler_, config_.links, dispatcher_, row.id, linksEach_, room_);
+      engine = std::make_unique<Engine>(scheduler_, config_.links, dispatcher_, row.id, connectionsPerEngine_,
+                                        connectionQuota_);
     if (row.state == EngineState::inService)
-      engine->place(listing.address, row.startedAt);
+      engine->setAddress(listing.address, row.startedAt);
     else
       engine->retire();
   }
   for (auto at = engines_.begin(); at != engines_.end();) {
     if (whole && !named.contains(at->first))
       at->second->retire();  // not in a whole list: gone
-    at = at->second->unused() ? engines_.erase(at) : std::next(at);
+    at = at->second->isUnused() ? engines_.erase(at) : std::next(at);
   }
   // Clients hold a third of all descriptors at most; as many are for engines, and the last third is to spare.
-  linksEach_ = std::max<size_t>(1, config_.sockets / 3 / std::max<size_t>(1, engines_.size()));
-  dispatcher_.listed(whole ? EngineListKind::full : EngineListKind::delta, std::move(rows));
+  connectionsPerEngine_ = std::max<size_t>(1, config_.sockets / 3 / std::max<size_t>(1, engines_.size()));
+  dispatcher_.updateEngines(whole ? EngineListKind::full : EngineListKind::delta, std::move(rows));
 }
 
 // --- from the dispatcher
-void Discovery::tell(uint32_t node, std::function<void(Engine&)> call) {
+void Discovery::withEngine(uint32_t node, std::function<void(Engine&)> call) {
   mailbox_.post([this, node, call = std::move(call)] {
     if (auto found = engines_.find(node); found != engines_.end())
       call(*found->second);
   });
 }
 
-void Discovery::send(uint32_t node, std::shared_ptr<Ticket> ticket, double until) {
-  mailbox_.post([this, node, ticket = std::move(ticket), until] {
+void Discovery::send(uint32_t node, std::shared_ptr<RequestContext> context, double until) {
+  mailbox_.post([this, node, context = std::move(context), until] {
     if (auto found = engines_.find(node); found != engines_.end())
-      return found->second->send(ticket, until);
+      return found->second->send(context, until);
     // It has gone, and was forgotten, since the module decided.
-    dispatcher_.ended(ticket, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
+    dispatcher_.sendFinished(context, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
   });
 }
 
-void Discovery::reprioritise(uint32_t node, std::shared_ptr<Ticket> ticket) {
-  tell(node, [ticket = std::move(ticket)](Engine& engine) { engine.reprioritise(ticket); });
+void Discovery::reprioritise(uint32_t node, std::shared_ptr<RequestContext> context) {
+  withEngine(node, [context = std::move(context)](Engine& engine) { engine.reprioritise(context); });
 }
 
-void Discovery::cancel(uint32_t node, std::shared_ptr<Ticket> ticket) {
-  tell(node, [ticket = std::move(ticket)](Engine& engine) { engine.cancel(ticket); });
+void Discovery::cancel(uint32_t node, std::shared_ptr<RequestContext> context) {
+  withEngine(node, [context = std::move(context)](Engine& engine) { engine.cancel(context); });
 }
 
-void Discovery::withdraw(uint32_t node, std::shared_ptr<Ticket> ticket) {
-  tell(node, [ticket = std::move(ticket)](Engine& engine) { engine.withdraw(ticket); });
+void Discovery::withdraw(uint32_t node, std::shared_ptr<RequestContext> context) {
+  withEngine(node, [context = std::move(context)](Engine& engine) { engine.withdraw(context); });
 }
 
-void Discovery::shorten(uint32_t node, std::shared_ptr<Ticket> ticket) {
-  tell(node, [ticket = std::move(ticket)](Engine& engine) { engine.shorten(ticket); });
+void Discovery::shortenDeadline(uint32_t node, std::shared_ptr<RequestContext> context) {
+  withEngine(node, [context = std::move(context)](Engine& engine) { engine.shortenDeadline(context); });
 }
 
-void Discovery::rests(uint32_t node, bool is) {
-  if (!view_)
+void Discovery::setEjected(uint32_t node, bool is) {
+  if (!subset_)
     return;
   mailbox_.post([this, node, is] {
-    view_->rests(node, is);
-    look();
+    subset_->rests(node, is);
+    updateSubset();
   });
 }
 
 void Discovery::probe(uint32_t node) {
-  tell(node, [](Engine& engine) { engine.probe(); });
+  withEngine(node, [](Engine& engine) { engine.probe(); });
 }
 
 }  // namespace elmcleat
--- a/src/serve/discovery.h
+++ b/src/serve/discovery.h
@@ -13,32 +13,33 @@
 
 namespace elmcleat {
 
-class Discovery final : public Engines {
+class Discovery final : public EngineRouter {
  public:
   // With a view, only the engines in it are used; without one all are.
   Discovery(Scheduler& scheduler, const Config& config, Dispatcher& dispatcher,
             std::unique_ptr<view::View> view = nullptr);
   void start(const std::vector<ListEvent>& known);  // then the change log is followed
   // Who can do without a descriptor when the system has none for the change log, or for an engine.
-  void evictBy(std::function<bool()> evict) { room_.evict = std::move(evict); }
+  void setEvictor(std::function<bool()> evict) { connectionQuota_.evictOther = std::move(evict); }
   void follow(const Address& changeLog);  // from the last number on, at once, if it is another one
 
-  void send(uint32_t node, std::shared_ptr<Ticket> ticket, double until) override;
-  void reprioritise(uint32_t node, std::shared_ptr<Ticket> ticket) override;
-  void cancel(uint32_t node, std::shared_ptr<Ticket> ticket) override;
-  void withdraw(uint32_t node, std::shared_ptr<Ticket> ticket) override;
-  void shorten(uint32_t node, std::shared_ptr<Ticket> ticket) override;
+  void send(uint32_t node, std::shared_ptr<RequestContext> context, double until) override;
+  void reprioritise(uint32_t node, std::shared_ptr<RequestContext> context) override;
+  void cancel(uint32_t node, std::shared_ptr<RequestContext> context) override;
+  void withdraw(uint32_t node, std::shared_ptr<RequestContext> context) override;
+  void shortenDeadline(uint32_t node, std::shared_ptr<RequestContext> context) override;
   void probe(uint32_t node) override;
-  void rests(uint32_t node, bool is) override;
+  void setEjected(uint32_t node, bool is) override;
 
  private:
   Task run();
   bool read(Stream& stream);
   void apply(const ListEvent& event);
-  void look();                                                 // has the view to be wider, or narrower?
-  void use(const std::vector<Listing>& listings, bool whole);  // what is not named in a whole list is gone
-  void heed(const std::vector<Listing>& changes, const char* why);  // of the view
-  void tell(uint32_t node, std::function<void(Engine&)> call);
+  void updateSubset();  // has the view to be wider, or narrower?
+  void updateEngines(const std::vector<Listing>& listings,
+                     bool whole);  // what is not named in a whole list is gone
+  void applySubsetChanges(const std::vector<Listing>& changes, const char* why);  // of the view
+  void withEngine(uint32_t node, std::function<void(Engine&)> call);
 
   Scheduler& scheduler_;
   const Config& config_;
@@ -50,11 +51,11 @@
   bool moved_ = false;  // the change log has another address since we last connected
   Address changeLog_;
   FrameReader reader_;
-  std::unique_ptr<view::View> view_;
-  Timer looks_;           // when the view may change by itself
-  uint64_t last_ = 0;     // number of the last event that is known
-  size_t linksEach_ = 1;  // connections that one engine should do with
-  LinkRoom room_;         // of all engines' connections
+  std::unique_ptr<view::View> subset_;
+  Timer subsetTimer_;                // when the view may change by itself
+  uint64_t last_ = 0;                // number of the last event that is known
+  size_t connectionsPerEngine_ = 1;  // connections that one engine should do with
+  ConnectionQuota connectionQuota_;  // of all engines' connections
   std::unordered_map<uint32_t, std::unique_ptr<Engine>> engines_;
   Task task_;
 };
--- a/src/serve/engine.cpp
+++ b/src/serve/engine.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "runtime/log.h"
-#include "serve/close_reason.h"
+#include "serve/outcome.h"
 
 namespace elmcleat {
 namespace {
@@ -16,19 +16,19 @@
 
 }  // namespace
 
-Engine::Link::Link(Scheduler& scheduler, Signal& signal, std::function<void()> late)
+Engine::EngineConnection::EngineConnection(Scheduler& scheduler, Signal& signal, std::function<void()> late)
     : stream(scheduler, signal, kMostIn, kMostOut),
       timer(scheduler, std::move(late)),
-      rest(scheduler, [this, &signal] { stream.end(CloseReason::cutShort), signal.raise(); }) {}
+      responseTimer(scheduler, [this, &signal] { stream.end(CloseReason::cutShort), signal.raise(); }) {}
 
 Engine::Engine(Scheduler& scheduler, const LinkSettings& settings, Dispatcher& dispatcher, uint32_t id,
-               const size_t& most, LinkRoom& room)
+               const size_t& most, ConnectionQuota& room)
     : scheduler_(scheduler),
       settings_(settings),
       dispatcher_(dispatcher),
       id_(id),
-      most_(most),
-      room_(room),
+      maxConnections_(most),
+      connectionQuota_(room),
       signal_(scheduler),
       mailbox_(signal_) {
   task_ = run();
@@ -45,26 +45,26 @@
   while (true) {
     co_await signal_;
     mailbox_.drain();
-    for (auto link = links_.begin(); link != links_.end();) {
-      serve(**link);
-      if ((*link)->stream.open()) {
-        ++link;
+    for (auto connection = connections_.begin(); connection != connections_.end();) {
+      serve(**connection);
+      if ((*connection)->stream.open()) {
+        ++connection;
         continue;
       }
-      lost(**link);
-      link = links_.erase(link);
+      connectionClosed(**connection);
+      connection = connections_.erase(connection);
     }
-    beginWaiting();
+    startWaiting();
   }
 }
 
 // --- from the list
-void Engine::place(const Address& address, std::optional<double> started) {
+void Engine::setAddress(const Address& address, std::optional<double> started) {
   mailbox_.post([this, address, started] {
     if (address == address_ && started == started_ && !retired_)
       return;
-    if (!links_.empty())
-      release();
+    if (!connections_.empty())
+      retireConnections();
     address_ = address, started_ = started, retired_ = false;
   });
 }
@@ -72,191 +72,193 @@
 void Engine::retire() {
   mailbox_.post([this] {
     if (!std::exchange(retired_, true))
-      release();
+      retireConnections();
   });
 }
 
 // No connection takes anything new; what has not begun to go out never will (rule 3: for drains a send counts
 // from its first byte).
-void Engine::release() {
+void Engine::retireConnections() {
   while (!waiting_.empty())
-    endWaiting(*waiting_.front()->ticket, CloseReason::replaced);
-  for (auto& link : links_) {
-    link->old = true;
-    for (auto at = link->sends.begin(); at != link->sends.end();) {
+    endWaiting(*waiting_.front()->context, CloseReason::replaced);
+  for (auto& connection : connections_) {
+    connection->retired = true;
+    for (auto at = connection->sends.begin(); at != connection->sends.end();) {
       Send& send = *(at++)->second;
-      if (send.place && !link->stream.withdraw(*send.place))
+      if (send.streamPosition && !connection->stream.withdraw(*send.streamPosition))
         continue;
-      finish(*link, send, outcomeOf(CloseReason::replaced, false));
+      finish(*connection, send, outcomeOf(CloseReason::replaced, false));
     }
-    if (link->sends.empty())
-      link->stream.end(CloseReason::replaced);
+    if (connection->sends.empty())
+      connection->stream.end(CloseReason::replaced);
   }
 }
 
 // --- from the dispatcher
-void Engine::send(std::shared_ptr<Ticket> ticket, double until) {
-  mailbox_.post([this, ticket = std::move(ticket), until] {
+void Engine::send(std::shared_ptr<RequestContext> context, double until) {
+  mailbox_.post([this, context = std::move(context), until] {
     if (retired_)
-      return dispatcher_.ended(ticket, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
+      return dispatcher_.sendFinished(context, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
     double now = scheduler_.now();
     // Notes on every send come at a set pace: where two of them fail to come, the engine is cut off or gone.
     if (settings_.noteEvery > 0 && sends_ > 0 && now > quietSince_ + 2 * settings_.noteEvery)
-      doubt();
-    begin(ticket, until);
+      suspectConnections();
+    startSend(context, until);
   });
 }
 
-void Engine::begin(std::shared_ptr<Ticket> ticket, double until) {
-  if (!mayBegin(*ticket))
-    return dispatcher_.ended(ticket, outcomeOf(CloseReason::timedOut, false), 0, {}, {}, {});
-  Link* link = linkFor(*ticket);
-  if (!link) {  // it waits for a connection, at most until its time is up
-    auto& one = waiting_.emplace_back(std::make_unique<Waiting>(
-        scheduler_, [this, ticket] { endWaiting(*ticket, CloseReason::timedOut); }));
-    one->ticket = ticket, one->until = until;
-    one->deadline.set(std::min(until, ticket->beginBy));
-    return room_.wait(signal_);
+void Engine::startSend(std::shared_ptr<RequestContext> context, double until) {
+  if (!mayStart(*context))
+    return dispatcher_.sendFinished(context, outcomeOf(CloseReason::timedOut, false), 0, {}, {}, {});
+  EngineConnection* connection = connectionFor(*context);
+  if (!connection) {  // it waits for a connection, at most until its time is up
+    auto& one = waiting_.emplace_back(std::make_unique<WaitingSend>(
+        scheduler_, [this, context] { endWaiting(*context, CloseReason::timedOut); }));
+    one->context = context, one->deadlineAt = until;
+    one->deadlineTimer.set(std::min(until, context->startDeadline));
+    return connectionQuota_.addWaiter(signal_);
   }
-  const std::string& id = ticket->ask.id;
+  const std::string& id = context->request.id;
   double now = scheduler_.now();
-  auto& send = link->sends[id];
+  auto& send = connection->sends[id];
   send = std::make_unique<Send>(
-      scheduler_, [this, link, id] { due(*link, *link->sends.at(id)); },
-      [this, link, id] { giveUp(*link, *link->sends.at(id), Outcome::timedOut); });
-  send->ticket = ticket, send->sentAt = now, send->until = until;
-  send->deadline.set(std::min(until, ticket->beginBy));
+      scheduler_, [this, connection, id] { deadlineReached(*connection, *connection->sends.at(id)); },
+      [this, connection, id] { abandon(*connection, *connection->sends.at(id), Outcome::timedOut); });
+  send->context = context, send->sentAt = now, send->deadlineAt = until;
+  send->deadlineTimer.set(std::min(until, context->startDeadline));
   if (sends_++ == 0)
     quietSince_ = now;
-  link->place->busy();
-  if (link->up)
-    write(*link, *send);
+  connection->slot->markBusy();
+  if (connection->connected)
+    write(*connection, *send);
 }
 
 // A place that was offered to us and that nobody of ours wants any more is for the next who waits.
-void Engine::beginWaiting() {
+void Engine::startWaiting() {
   if (waiting_.empty())
-    return room_.offer();
+    return connectionQuota_.notifyWaiter();
   for (auto& one : std::exchange(waiting_, {}))
-    begin(one->ticket, one->until);
+    startSend(one->context, one->deadlineAt);
 }
 
 // A send that waits for a connection never ran.
-void Engine::endWaiting(const Ticket& ticket, CloseReason ending) {
-  auto found = std::ranges::find_if(waiting_, [&](auto& one) { return one->ticket.get() == &ticket; });
+void Engine::endWaiting(const RequestContext& context, CloseReason ending) {
+  auto found = std::ranges::find_if(waiting_, [&](auto& one) { return one->context.get() == &context; });
   if (found == waiting_.end())
     return;
   auto kept = std::move(*found);  // the call may come from its timer
   waiting_.erase(found);
-  dispatcher_.ended(kept->ticket, outcomeOf(ending, false), 0, {}, {}, {});
+  dispatcher_.sendFinished(kept->context, outcomeOf(ending, false), 0, {}, {}, {});
 }
 
 // The client is looked at in the last moment: a wake after a stop may find its end beside what lets its send begin.
-void Engine::write(Link& link, Send& send) {
-  if (!mayBegin(*send.ticket) || !send.ticket->asker->present()) {
-    endUnbegun(link, send);
+void Engine::write(EngineConnection& connection, Send& send) {
+  if (!mayStart(*send.context) || !send.context->responder->isConnected()) {
+    finishIfNotStarted(connection, send);
     return;
   }
-  const Ask& ask = send.ticket->ask;
-  send.place = link.stream.write(engine_line::send(
-      {ask.id, ask.profile, ask.token, ask.statement, send.until - scheduler_.now(), send.ticket->priority}));
-  link.timer.clear();
-  listen(send);
+  const CommandRequest& request = send.context->request;
+  send.streamPosition = connection.stream.write(
+      engine_line::send({request.id, request.profile, request.token, request.statement,
+                         send.deadlineAt - scheduler_.now(), send.context->priority}));
+  connection.timer.clear();
+  restartSilenceTimer(send);
 }
 
 // Notes on every send come at a set pace. One on which two have failed to come has lost its answer, or its engine:
 // it is given up then, and not only at its time-out, which may be the client's. Guards against answers that never
 // come, come after their time, or were read by nobody. Hurts where an engine is too busy to write its notes.
-void Engine::listen(Send& send) {
+void Engine::restartSilenceTimer(Send& send) {
   if (settings_.noteEvery > 0)
-    send.unheard.set(scheduler_.now() + 2 * settings_.noteEvery + settings_.connectTimeout);
+    send.silenceTimer.set(scheduler_.now() + 2 * settings_.noteEvery + settings_.connectTimeout);
 }
 
-std::pair<Engine::Link*, Engine::Send*> Engine::find(const Ticket& ticket) {
-  for (auto& link : links_)
-    if (auto found = link->sends.find(ticket.ask.id); found != link->sends.end())
-      return {link.get(), found->second.get()};
+std::pair<Engine::EngineConnection*, Engine::Send*> Engine::find(const RequestContext& context) {
+  for (auto& connection : connections_)
+    if (auto found = connection->sends.find(context.request.id); found != connection->sends.end())
+      return {connection.get(), found->second.get()};
   return {nullptr, nullptr};
 }
 
-void Engine::reprioritise(std::shared_ptr<Ticket> ticket) {
-  mailbox_.post([this, ticket = std::move(ticket)] {
-    if (auto [link, send] = find(*ticket); send && send->place && !send->pages.begun())
-      link->stream.write(engine_line::priority(ticket->ask.id, *ticket->priority));
+void Engine::reprioritise(std::shared_ptr<RequestContext> context) {
+  mailbox_.post([this, context = std::move(context)] {
+    if (auto [connection, send] = find(*context); send && send->streamPosition && !send->pages.hasStarted())
+      connection->stream.write(engine_line::priority(context->request.id, *context->priority));
   });
 }
 
-void Engine::cancel(std::shared_ptr<Ticket> ticket) {
-  mailbox_.post([this, ticket = std::move(ticket)] {
-    if (auto [link, send] = find(*ticket); send)
-      giveUp(*link, *send, Outcome::cancelled);
+void Engine::cancel(std::shared_ptr<RequestContext> context) {
+  mailbox_.post([this, context = std::move(context)] {
+    if (auto [connection, send] = find(*context); send)
+      abandon(*connection, *send, Outcome::cancelled);
     else
-      endWaiting(*ticket, CloseReason::timedOut);
+      endWaiting(*context, CloseReason::timedOut);
   });
 }
 
 // No command whose client has gone begins, wherever it stands: in a mailbox, waiting for a connection or a handshake,
 // or behind bytes that the engine does not read.
-void Engine::withdraw(std::shared_ptr<Ticket> ticket) {
-  mailbox_.post([this, ticket = std::move(ticket)] {
-    if (auto [link, send] = find(*ticket); send)
-      endUnbegun(*link, *send);
+void Engine::withdraw(std::shared_ptr<RequestContext> context) {
+  mailbox_.post([this, context = std::move(context)] {
+    if (auto [connection, send] = find(*context); send)
+      finishIfNotStarted(*connection, *send);
     else
-      endWaiting(*ticket, CloseReason::timedOut);
+      endWaiting(*context, CloseReason::timedOut);
   });
 }
 
 // It must be over by its command's end, which has come nearer.
-void Engine::shorten(std::shared_ptr<Ticket> ticket) {
-  mailbox_.post([this, ticket = std::move(ticket)] {
-    double end = ticket->ask.answerBy();
-    if (auto [link, send] = find(*ticket); send) {
-      send->until = std::min(send->until, end);
-      send->deadline.set(send->givenUp ? end : std::min(send->until, ticket->beginBy));
+void Engine::shortenDeadline(std::shared_ptr<RequestContext> context) {
+  mailbox_.post([this, context = std::move(context)] {
+    double end = context->request.responseDeadline();
+    if (auto [connection, send] = find(*context); send) {
+      send->deadlineAt = std::min(send->deadlineAt, end);
+      send->deadlineTimer.set(send->abandonedAs ? end : std::min(send->deadlineAt, context->startDeadline));
     }
     for (auto& one : waiting_)
-      if (one->ticket == ticket)
-        one->until = std::min(one->until, end), one->deadline.set(std::min(one->until, ticket->beginBy));
+      if (one->context == context)
+        one->deadlineAt = std::min(one->deadlineAt, end),
+        one->deadlineTimer.set(std::min(one->deadlineAt, context->startDeadline));
   });
 }
 
 // Its time to begin, or all of its time, is up.
-void Engine::due(Link& link, Send& send) {
-  if (scheduler_.now() >= send.until)
-    giveUp(link, send, Outcome::timedOut);
-  else if (!endUnbegun(link, send))
-    send.deadline.set(send.until);
+void Engine::deadlineReached(EngineConnection& connection, Send& send) {
+  if (scheduler_.now() >= send.deadlineAt)
+    abandon(connection, send, Outcome::timedOut);
+  else if (!finishIfNotStarted(connection, send))
+    send.deadlineTimer.set(send.deadlineAt);
 }
 
 // A send of which nothing has gone out never ran. False: something has.
-bool Engine::endUnbegun(Link& link, Send& send) {
-  if (send.place && !link.stream.withdraw(*send.place))
+bool Engine::finishIfNotStarted(EngineConnection& connection, Send& send) {
+  if (send.streamPosition && !connection.stream.withdraw(*send.streamPosition))
     return false;
-  finish(link, send, outcomeOf(CloseReason::timedOut, false));
+  finish(connection, send, outcomeOf(CloseReason::timedOut, false));
   return true;
 }
 
 void Engine::probe() {
   mailbox_.post([this] {
     if (retired_)
-      return dispatcher_.probed(id_, outcomeOf(CloseReason::replaced, false), {});
-    Link* found = linkForProbe();
+      return dispatcher_.probeFinished(id_, outcomeOf(CloseReason::replaced, false), {});
+    EngineConnection* found = connectionForProbe();
     if (!found)
-      return dispatcher_.probed(id_, outcomeOf(CloseReason::noDescriptor, false), {});
-    Link& link = *found;
+      return dispatcher_.probeFinished(id_, outcomeOf(CloseReason::noDescriptor, false), {});
+    EngineConnection& connection = *found;
     std::string tag(1, 'p');  // no id of a command begins so
     tag += std::to_string(++probes_);
-    auto& limit = link.probes[tag];
-    limit = std::make_unique<Timer>(scheduler_, [this, &link, tag] {
-      link.probes.erase(tag);
-      drop(link, tag);
-      dispatcher_.probed(id_, Outcome::timedOut, {});
-      rest(link);
+    auto& limit = connection.probes[tag];
+    limit = std::make_unique<Timer>(scheduler_, [this, &connection, tag] {
+      connection.probes.erase(tag);
+      drop(connection, tag);
+      dispatcher_.probeFinished(id_, Outcome::timedOut, {});
+      setIdleIfUnused(connection);
     });
     limit->set(scheduler_.now() + settings_.connectTimeout);
-    link.place->busy();
-    if (link.up)
-      link.stream.write(engine_line::probe(tag, settings_.reports)), link.timer.clear();
+    connection.slot->markBusy();
+    if (connection.connected)
+      connection.stream.write(engine_line::probe(tag, settings_.reports)), connection.timer.clear();
   });
 }
 
@@ -265,75 +267,77 @@
 // that is sure to work, and it harms no other. Beyond that they share, but for commands with a key: the next
 // of the key goes out as soon as this one's client has gone, and by then it has to be given up for sure
 // (rule 5).
-Engine::Link* Engine::linkFor(const Ticket& ticket) {
-  Link *free = nullptr, *least = nullptr;
+Engine::EngineConnection* Engine::connectionFor(const RequestContext& context) {
+  EngineConnection *free = nullptr, *least = nullptr;
   size_t open = 0;
-  for (auto& link : links_) {
-    if (!link->stream.open())
+  for (auto& connection : connections_) {
+    if (!connection->stream.open())
       continue;
     ++open;
-    size_t load = link->sends.size() + link->probes.size();
+    size_t load = connection->sends.size() + connection->probes.size();
     // Where the id was given up before, its late answer would be taken for the new one's.
-    if (link->old || link->doubted || link->dropped.contains(ticket.ask.id))
+    if (connection->retired || connection->suspect || connection->droppedAt.contains(context.request.id))
       continue;
-    if (load == 0 && link->up && !free)
-      free = link.get();
-    if (ticket.ask.key || (load > 0 && !link->sends.empty() && link->sends.begin()->second->ticket->ask.key))
+    if (load == 0 && connection->connected && !free)
+      free = connection.get();
+    if (context.request.orderingKey || (load > 0 && !connection->sends.empty() &&
+                                        connection->sends.begin()->second->context->request.orderingKey))
       continue;
     if (load >= static_cast<size_t>(settings_.sendsPerConnection))
       continue;
     if (!least || load < least->sends.size() + least->probes.size())
-      least = link.get();
+      least = connection.get();
   }
   if (free)
     return free;
-  if (least && (open >= most_ || !room_.any()))
+  if (least && (open >= maxConnections_ || !connectionQuota_.hasFreeSlot()))
     return least;
-  return room_.any() ? &connect() : nullptr;
+  return connectionQuota_.hasFreeSlot() ? &connect() : nullptr;
 }
 
-Engine::Link* Engine::linkForProbe() {
-  for (auto& link : links_)
-    if (link->up && link->stream.open() && !link->old && !link->doubted)
-      return link.get();
-  return room_.any() ? &connect() : nullptr;
+Engine::EngineConnection* Engine::connectionForProbe() {
+  for (auto& connection : connections_)
+    if (connection->connected && connection->stream.open() && !connection->retired && !connection->suspect)
+      return connection.get();
+  return connectionQuota_.hasFreeSlot() ? &connect() : nullptr;
 }
 
-Engine::Link& Engine::connect(bool again) {
-  auto& made = links_.emplace_back();
-  made = std::make_unique<Link>(scheduler_, signal_, [this, slot = &made] { late(**slot); });
-  made->place =
-      room_.take([this, link = made.get()] { link->stream.end(CloseReason::idle), signal_.raise(); });
+Engine::EngineConnection& Engine::connect(bool again) {
+  auto& made = connections_.emplace_back();
+  made = std::make_unique<EngineConnection>(scheduler_, signal_,
+                                            [this, slot = &made] { connectionTimedOut(**slot); });
+  made->slot = connectionQuota_.acquire(
+      [this, connection = made.get()] { connection->stream.end(CloseReason::idle), signal_.raise(); });
   made->timer.set(scheduler_.now() + settings_.connectTimeout);
   made->stream.connect(address_);
-  if (made->stream.closeReason() == CloseReason::noDescriptor && again && room_.evict()) {
-    links_.pop_back();
+  if (made->stream.closeReason() == CloseReason::noDescriptor && again && connectionQuota_.evictOther()) {
+    connections_.pop_back();
     return connect(false);
   }
   signal_.raise();
   return *made;
 }
 
-void Engine::late(Link& link) {
-  if (!link.up)
-    link.stream.end(CloseReason::connectLate);
-  else if (link.doubted)
-    link.stream.end(CloseReason::silent);
-  else if (link.sends.empty() && link.probes.empty())
-    link.stream.end(CloseReason::idle);
+void Engine::connectionTimedOut(EngineConnection& connection) {
+  if (!connection.connected)
+    connection.stream.end(CloseReason::connectLate);
+  else if (connection.suspect)
+    connection.stream.end(CloseReason::silent);
+  else if (connection.sends.empty() && connection.probes.empty())
+    connection.stream.end(CloseReason::idle);
   signal_.raise();
 }
 
 // Nothing came from this engine for too long. What goes out on a connection that is cut is lost without a
 // word; a new one fails at once. So what is idle is closed, and the others take nothing new.
-void Engine::doubt() {
+void Engine::suspectConnections() {
   bool any = false;
-  for (auto& link : links_) {
-    if (!link->up || link->old)
+  for (auto& connection : connections_) {
+    if (!connection->connected || connection->retired)
       continue;
-    any = link->old = true;
-    if (link->sends.empty() && link->probes.empty())
-      link->stream.end(CloseReason::silent);
+    any = connection->retired = true;
+    if (connection->sends.empty() && connection->probes.empty())
+      connection->stream.end(CloseReason::silent);
   }
   if (!any)
     return;
@@ -344,149 +348,151 @@
 
 // With nothing open on it a connection waits for work, and is closed by us before the engine does it: else a
 // send could cross the close.
-void Engine::rest(Link& link) {
-  if (!link.sends.empty() || !link.probes.empty() || !link.up || !link.stream.open())
+void Engine::setIdleIfUnused(EngineConnection& connection) {
+  if (!connection.sends.empty() || !connection.probes.empty() || !connection.connected ||
+      !connection.stream.open())
     return;
-  if (link.old) {
-    link.stream.end(CloseReason::replaced);
+  if (connection.retired) {
+    connection.stream.end(CloseReason::replaced);
     signal_.raise();
   } else {
-    link.timer.set(scheduler_.now() +
-                   std::max(settings_.idle - settings_.connectTimeout, settings_.idle / 2));
-    link.place->idle();
+    connection.timer.set(scheduler_.now() +
+                         std::max(settings_.idle - settings_.connectTimeout, settings_.idle / 2));
+    connection.slot->markIdle();
   }
 }
 
-void Engine::serve(Link& link) {
-  if (!link.up) {
-    if (!link.stream.connected())
+void Engine::serve(EngineConnection& connection) {
+  if (!connection.connected) {
+    if (!connection.stream.connected())
       return;
-    link.up = true;
-    link.timer.clear();
-    for (auto at = link.sends.begin(); at != link.sends.end();) {
-      write(link, *(at++)->second);
+    connection.connected = true;
+    connection.timer.clear();
+    for (auto at = connection.sends.begin(); at != connection.sends.end();) {
+      write(connection, *(at++)->second);
     }
-    for (auto& [tag, limit] : link.probes)
-      link.stream.write(engine_line::probe(tag, settings_.reports));
-    rest(link);
+    for (auto& [tag, limit] : connection.probes)
+      connection.stream.write(engine_line::probe(tag, settings_.reports));
+    setIdleIfUnused(connection);
   }
   bool news = false;  // a whole answer came
   do {
-    size_t had = link.stream.in().size();
-    link.stream.fill();
-    if (link.stream.in().size() > had)
-      heard(link);
-    EngineAnswer answer;
+    size_t had = connection.stream.in().size();
+    connection.stream.fill();
+    if (connection.stream.in().size() > had)
+      receivedFrom(connection);
+    EngineAnswer response;
     EngineReader::State state;
-    while ((state = link.reader.next(link.stream.in(), answer)) == EngineReader::State::whole) {
+    while ((state = connection.reader.next(connection.stream.in(), response)) == EngineReader::State::whole) {
       news = true;
-      heed(link, answer);
-      if (link.stream.closeReason() == CloseReason::garbled)
+      handleResponse(connection, response);
+      if (connection.stream.closeReason() == CloseReason::garbled)
         return;
     }
     if (state == EngineReader::State::bad)
-      link.stream.end(CloseReason::garbled);
-  } while (link.stream.open() && link.stream.cutShort());
-  if (!link.stream.drained())  // the engine has read little for a while
-    for (auto at = link.sends.begin(); at != link.sends.end();)
-      if (Send& send = *(at++)->second; !mayBegin(*send.ticket))
-        endUnbegun(link, send);
-  link.stream.flush();
-  expect(link, news);
+      connection.stream.end(CloseReason::garbled);
+  } while (connection.stream.open() && connection.stream.cutShort());
+  if (!connection.stream.drained())  // the engine has read little for a while
+    for (auto at = connection.sends.begin(); at != connection.sends.end();)
+      if (Send& send = *(at++)->second; !mayStart(*send.context))
+        finishIfNotStarted(connection, send);
+  connection.stream.flush();
+  updateResponseTimer(connection, news);
 }
 
 // The rest of an answer, and pages that lie ready, come at once or never: after the time in which a connection
 // has to come up, this one is of no further use. Guards against answers that stop short or break off without a
 // close. Hurts an engine, or a network, that stands still for that long in the middle of an answer.
-void Engine::expect(Link& link, bool news) {
-  bool owed = !link.reader.between(link.stream.in()) || std::ranges::any_of(link.sends, [](auto& held) {
-    return held.second->pages.begun() && !held.second->givenUp;
-  });
-  if (!owed || !link.stream.open())
-    link.rest.clear();
-  else if (!link.owed || news)
-    link.rest.set(scheduler_.now() + settings_.connectTimeout);
-  link.owed = owed;
-}
-
-void Engine::lost(Link& link) {
-  CloseReason ending = link.stream.closeReason();
+void Engine::updateResponseTimer(EngineConnection& connection, bool news) {
+  bool owed = !connection.reader.between(connection.stream.in()) ||
+              std::ranges::any_of(connection.sends, [](auto& held) {
+                return held.second->pages.hasStarted() && !held.second->abandonedAs;
+              });
+  if (!owed || !connection.stream.open())
+    connection.responseTimer.clear();
+  else if (!connection.responseIncomplete || news)
+    connection.responseTimer.set(scheduler_.now() + settings_.connectTimeout);
+  connection.responseIncomplete = owed;
+}
+
+void Engine::connectionClosed(EngineConnection& connection) {
+  CloseReason ending = connection.stream.closeReason();
   bool news =
       ending != CloseReason::idle && ending != CloseReason::replaced && ending != CloseReason::timedOut;
-  if (news || !link.sends.empty())
+  if (news || !connection.sends.empty())
     warn().with("engine", name()) << name() << " at " << textOf(address_)
-                                  << ": connection ended: " << nameOf(ending) << ", " << link.sends.size()
-                                  << " sends out";
+                                  << ": connection ended: " << nameOf(ending) << ", "
+                                  << connection.sends.size() << " sends out";
   else
     debug().with("engine", name()) << name() << ": connection ended: " << nameOf(ending);
-  while (!link.sends.empty()) {
-    Send& send = *link.sends.begin()->second;
-    bool begun = send.place && link.stream.begun(*send.place);
-    finish(link, send, send.givenUp.value_or(outcomeOf(ending, begun)));
+  while (!connection.sends.empty()) {
+    Send& send = *connection.sends.begin()->second;
+    bool begun = send.streamPosition && connection.stream.begun(*send.streamPosition);
+    finish(connection, send, send.abandonedAs.value_or(outcomeOf(ending, begun)));
   }
-  for (size_t left = link.probes.size(); left > 0; --left)
-    dispatcher_.probed(id_, outcomeOf(ending, link.up), {});
+  for (size_t left = connection.probes.size(); left > 0; --left)
+    dispatcher_.probeFinished(id_, outcomeOf(ending, connection.connected), {});
 }
 
 // --- answers
-void Engine::heed(Link& link, EngineAnswer& answer) {
-  if (auto probe = link.probes.find(answer.id); probe != link.probes.end()) {
-    link.probes.erase(probe);
-    dispatcher_.probed(id_, outcomeOf(answer.word), answer.report);
-    return rest(link);
+void Engine::handleResponse(EngineConnection& connection, EngineAnswer& response) {
+  if (auto probe = connection.probes.find(response.id); probe != connection.probes.end()) {
+    connection.probes.erase(probe);
+    dispatcher_.probeFinished(id_, outcomeOf(response.word), response.report);
+    return setIdleIfUnused(connection);
   }
-  auto found = link.sends.find(answer.id);
-  if (found ==
-      link.sends.end()) {  // to nothing asked, or a second copy: it harms nothing, unless they never end
-    if (++link.strays > kMostStrays)
-      link.stream.end(CloseReason::garbled);
+  auto found = connection.sends.find(response.id);
+  if (found == connection.sends
+                   .end()) {  // to nothing asked, or a second copy: it harms nothing, unless they never end
+    if (++connection.unmatchedResponses > kMostStrays)
+      connection.stream.end(CloseReason::garbled);
     return;
   }
-  link.strays = 0;
+  connection.unmatchedResponses = 0;
   Send& send = *found->second;
-  if (send.givenUp)
+  if (send.abandonedAs)
     return;  // it crossed our word
-  listen(send);
-  switch (answer.word) {
+  restartSilenceTimer(send);
+  switch (response.word) {
     case Word::note:
-      if (answer.topic)
-        dispatcher_.noted(send.ticket, *answer.topic, answer.level);
+      if (response.topic)
+        dispatcher_.statusReported(send.context, *response.topic, response.level);
       return;
     case Word::answered:
     case Word::page:
-      return heedPage(link, send, answer);
+      return handlePage(connection, send, response);
     case Word::full:
     case Word::error:
     case Word::over:
-      return finish(link, send, outcomeOf(answer.word), answer.bill, answer.report);
+      return finish(connection, send, outcomeOf(response.word), response.bill, response.report);
     default:
-      link.stream.end(CloseReason::garbled);  // a probe's answer under a send's id
+      connection.stream.end(CloseReason::garbled);  // a probe's answer under a send's id
   }
 }
 
-void Engine::heedPage(Link& link, Send& send, EngineAnswer& answer) {
-  bool first = answer.word == Word::answered;
-  if (first ? send.pages.begun() : send.pages.has(answer.page))
+void Engine::handlePage(EngineConnection& connection, Send& send, EngineAnswer& response) {
+  bool first = response.word == Word::answered;
+  if (first ? send.pages.hasStarted() : send.pages.hasPage(response.page))
     return;  // a second copy
-  if (!(first ? send.pages.first(answer) : send.pages.further(answer)))
-    return link.stream.end(CloseReason::garbled);
-  const std::string& id = send.ticket->ask.id;
-  if (first && send.ticket->over) {  // withdrawn: nobody waits for the pages
-    if (send.pages.pages() > 1)
-      link.stream.write(engine_line::close(id));
-    return finish(link, send, Outcome::answered, answer.bill, answer.report, "");
+  if (!(first ? send.pages.addFirstPage(response) : send.pages.addPage(response)))
+    return connection.stream.end(CloseReason::garbled);
+  const std::string& id = send.context->request.id;
+  if (first && send.context->finished) {  // withdrawn: nobody waits for the pages
+    if (send.pages.pageCount() > 1)
+      connection.stream.write(engine_line::close(id));
+    return finish(connection, send, Outcome::answered, response.bill, response.report, "");
   }
   if (first)
-    for (int page = 1; page < send.pages.pages(); ++page)
-      link.stream.write(engine_line::page(id, page));
-  if (!send.pages.whole())
+    for (int page = 1; page < send.pages.pageCount(); ++page)
+      connection.stream.write(engine_line::page(id, page));
+  if (!send.pages.isComplete())
     return;
-  if (send.pages.pages() > 1)
-    link.stream.write(engine_line::close(id));
+  if (send.pages.pageCount() > 1)
+    connection.stream.write(engine_line::close(id));
   auto rows = send.pages.rows();
   if (!rows)
-    return link.stream.end(CloseReason::garbled);
-  finish(link, send, Outcome::answered, answer.bill, answer.report, std::move(rows));
+    return connection.stream.end(CloseReason::garbled);
+  finish(connection, send, Outcome::answered, response.bill, response.report, std::move(rows));
 }
 
 // The time is up, or the module has cancelled it. What has not begun to go out never ran. Else it is out
@@ -494,61 +500,63 @@
 // the while): only then may a further send go out, or the next command of its key. Alone on its connection it
 // is given up by closing that; among others, the outcome waits until something comes: the word has arrived by
 // then.
-void Engine::giveUp(Link& link, Send& send, Outcome what) {
-  if (send.givenUp)
-    return finish(link, send, *send.givenUp);  // heard or not, its client has gone
-  if (endUnbegun(link, send))
+void Engine::abandon(EngineConnection& connection, Send& send, Outcome what) {
+  if (send.abandonedAs)
+    return finish(connection, send, *send.abandonedAs);  // heard or not, its client has gone
+  if (finishIfNotStarted(connection, send))
     return;
-  send.unheard.clear();
-  const std::string id = send.ticket->ask.id;
+  send.silenceTimer.clear();
+  const std::string id = send.context->request.id;
   double now = scheduler_.now();
   debug().with("engine", name()).with("command", std::string(id))
       << name() << ": gives up " << id << " after " << now - send.sentAt << " s";
   if (quietSince_ <= send.sentAt)
-    doubt();
+    suspectConnections();
   signal_.raise();
-  if (link.sends.size() == 1) {
-    finish(link, send, what);
-    return link.stream.end(CloseReason::timedOut);
+  if (connection.sends.size() == 1) {
+    finish(connection, send, what);
+    return connection.stream.end(CloseReason::timedOut);
   }
-  link.stream.write(send.pages.begun() ? engine_line::close(id) : engine_line::drop(id));
-  drop(link, id);
-  if (send.ticket->over || now >= send.ticket->ask.answerBy())
-    return finish(link, send, what);  // no further send
-  send.givenUp = what;
-  send.deadline.set(send.ticket->ask.answerBy());
-  if (!std::exchange(link.doubted, true))
-    link.timer.set(now + std::max(settings_.connectTimeout, 2 * settings_.noteEvery));
+  connection.stream.write(send.pages.hasStarted() ? engine_line::close(id) : engine_line::drop(id));
+  drop(connection, id);
+  if (send.context->finished || now >= send.context->request.responseDeadline())
+    return finish(connection, send, what);  // no further send
+  send.abandonedAs = what;
+  send.deadlineTimer.set(send.context->request.responseDeadline());
+  if (!std::exchange(connection.suspect, true))
+    connection.timer.set(now + std::max(settings_.connectTimeout, 2 * settings_.noteEvery));
 }
 
-void Engine::drop(Link& link, const std::string& id) {
+void Engine::drop(EngineConnection& connection, const std::string& id) {
   double now = scheduler_.now();
-  std::erase_if(link.dropped, [&](auto& it) { return it.second < now - settings_.idle; });
-  link.dropped[id] = now;
+  std::erase_if(connection.droppedAt, [&](auto& it) { return it.second < now - settings_.idle; });
+  connection.droppedAt[id] = now;
 }
 
-void Engine::heard(Link& link) {
+void Engine::receivedFrom(EngineConnection& connection) {
   quietSince_ = scheduler_.now();
-  if (!std::exchange(link.doubted, false))
+  if (!std::exchange(connection.suspect, false))
     return;
-  link.timer.clear();
-  for (auto at = link.sends.begin(); at != link.sends.end();)
-    if (Send& send = *(at++)->second; send.givenUp)
-      finish(link, send, *send.givenUp);
+  connection.timer.clear();
+  for (auto at = connection.sends.begin(); at != connection.sends.end();)
+    if (Send& send = *(at++)->second; send.abandonedAs)
+      finish(connection, send, *send.abandonedAs);
 }
 
-void Engine::finish(Link& link, Send& send, Outcome what, std::optional<ResourceUsage> usage,
-                    std::optional<LoadReport> report, std::optional<std::string> rows) {
-  auto node = link.sends.extract(send.ticket->ask.id);
+void Engine::finish(EngineConnection& connection, Send& send, Outcome what,
+                    std::optional<ResourceUsage> usage, std::optional<LoadReport> report,
+                    std::optional<std::string> rows) {
+  auto node = connection.sends.extract(send.context->request.id);
   --sends_;
   double took = scheduler_.now() - send.sentAt;
   if (what != Outcome::answered) {
-    debug().with("engine", name()).with("command", send.ticket->ask.id)
-        << name() << ": send of " << send.ticket->ask.id << " ended after " << took << " s";
-    drop(link, send.ticket->ask.id);  // a further send of it goes elsewhere, should this answer have a copy
+    debug().with("engine", name()).with("command", send.context->request.id)
+        << name() << ": send of " << send.context->request.id << " ended after " << took << " s";
+    drop(connection,
+         send.context->request.id);  // a further send of it goes elsewhere, should this answer have a copy
   }
-  dispatcher_.ended(send.ticket, what, took, usage, report, std::move(rows));
-  rest(link);
+  dispatcher_.sendFinished(send.context, what, took, usage, report, std::move(rows));
+  setIdleIfUnused(connection);
 }
 
 }  // namespace elmcleat
--- a/src/serve/door.cpp
+++ b/src/serve/listener.cpp
@@ -1,4 +1,4 @@
-#include "serve/door.h"
+#include "serve/listener.h"
 
 #include <sys/socket.h>
 
@@ -36,31 +36,31 @@
 
 }  // namespace
 
-Door::Door(Scheduler& scheduler, const Config& config, Dispatcher& dispatcher)
+Listener::Listener(Scheduler& scheduler, const Config& config, Dispatcher& dispatcher)
     : scheduler_(scheduler),
       config_(config),
       dispatcher_(dispatcher),
-      most_(mostClients(config.sockets)),
+      maxConnections_(mostClients(config.sockets)),
       memory_{config.memoryMb * (1 << 20) / 4},
       signal_(scheduler),
-      again_(scheduler, [this] { signal_.raise(); }),
-      leaving_(scheduler, [this] { close(); }),
-      parting_(scheduler, [this] {
+      acceptRetryTimer_(scheduler, [this] { signal_.raise(); }),
+      drainTimer_(scheduler, [this] { close(); }),
+      closeTimer_(scheduler, [this] {
         info() << "all answered: ends";
         scheduler_.stop();
       }) {}
 
-void Door::open() {
+void Listener::open() {
   listener_ = std::make_unique<Descriptor>(scheduler_, listenOn(config_.listen), signal_);
   task_ = run();
   task_.start();
 }
 
-void Door::drain() {
-  if (std::exchange(told_, true))
+void Listener::drain() {
+  if (std::exchange(draining_, true))
     return;
   info() << "leaving: " << clients_.size() << " connections open";
-  leaving_.set(scheduler_.now() + kComing);
+  drainTimer_.set(scheduler_.now() + kComing);
   double longest = 0;
   for (auto& profile : config_.settings.profiles)
     longest = std::max(longest, profile.clientTimeout);
@@ -70,8 +70,8 @@
 }
 
 // Whoever connected in time is in the listener's queue, which ends with it.
-void Door::close() {
-  for (size_t i = 0; i < most_ && accept(); ++i) {
+void Listener::close() {
+  for (size_t i = 0; i < maxConnections_ && accept(); ++i) {
   }
   closed_ = true;
   listener_.reset();
@@ -80,15 +80,15 @@
   endIfDone();
 }
 
-Task Door::run() {
+Task Listener::run() {
   while (true) {
     while (listener_) {
-      if (clients_.size() >= most_ + kTurnedAway) {
+      if (clients_.size() >= maxConnections_ + kTurnedAway) {
         co_await signal_.others();  // those that are closed leave
         if (!listener_)
           break;  // and the time to close may have come
-        if (clients_.size() >= most_ + kTurnedAway) {
-          again_.set(scheduler_.now() + kPause);
+        if (clients_.size() >= maxConnections_ + kTurnedAway) {
+          acceptRetryTimer_.set(scheduler_.now() + kPause);
           break;
         }
       }
@@ -103,11 +103,11 @@
 }
 
 // False: there is nobody, or no descriptor for who comes.
-bool Door::accept() {
+bool Listener::accept() {
   while (true) {
     int fd = ::accept4(listener_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      admit(fd, clients_.size() >= most_ && !evictIdle());
+      admit(fd, clients_.size() >= maxConnections_ && !evictIdle());
       return true;
     }
     if (errno == EAGAIN)
@@ -116,48 +116,49 @@
     if (!none || evictIdle())
       continue;  // whatever else is wrong is wrong with that connection alone
     warn() << "door: no descriptor for a connection: " << std::strerror(errno);
-    again_.set(scheduler_.now() + kPause);
+    acceptRetryTimer_.set(scheduler_.now() + kPause);
     return false;
   }
 }
 
 // The first read is made at once, before the next connection is accepted.
-void Door::admit(int fd, bool full) {
-  auto client = std::make_shared<Client>(scheduler_, config_.settings, dispatcher_, memory_, fd, full);
-  Client* who = client.get();
-  who->tell([this] { endIfDone(); }, [this, who] { over(who); });
+void Listener::admit(int fd, bool full) {
+  auto client =
+      std::make_shared<ClientConnection>(scheduler_, config_.settings, dispatcher_, memory_, fd, full);
+  ClientConnection* who = client.get();
+  who->onFinished([this] { endIfDone(); }, [this, who] { connectionClosed(who); });
   clients_.emplace(who, std::move(client));
   who->start();
 }
 
 // First who has had its last answer, then who has connected and said nothing, or nothing whole; then who has been idle
 // for longest.
-bool Door::evictIdle() {
-  std::vector<Client*> idle;
+bool Listener::evictIdle() {
+  std::vector<ClientConnection*> idle;
   for (auto& [client, held] : clients_)
     if (client->idle())
       idle.push_back(client);
-  std::ranges::sort(idle, {}, [](Client* client) {
-    return std::tuple(!client->leaving(), client->hasAsked(), client->idleSince());
+  std::ranges::sort(idle, {}, [](ClientConnection* client) {
+    return std::tuple(!client->isClosing(), client->hasSentRequest(), client->idleSince());
   });
-  return std::ranges::any_of(idle, [](Client* client) { return client->tryEvict(); });
+  return std::ranges::any_of(idle, [](ClientConnection* client) { return client->tryEvict(); });
 }
 
-void Door::over(Client* client) {
+void Listener::connectionClosed(ClientConnection* client) {
   auto held = clients_.extract(client);
   if (!held.empty())
     scheduler_.bury(std::move(held.mapped()));
   endIfDone();
 }
 
-void Door::endIfDone() {
+void Listener::endIfDone() {
   if (!closed_)
     return;
-  bool owed = std::ranges::any_of(clients_, [](auto& held) { return held.first->pending(); });
+  bool owed = std::ranges::any_of(clients_, [](auto& held) { return held.first->hasPendingResponse(); });
   if (owed)
-    parting_.clear();
-  else if (clients_.empty() || !parting_.isSet())
-    parting_.set(scheduler_.now() + (clients_.empty() ? 0 : kParting));
+    closeTimer_.clear();
+  else if (clients_.empty() || !closeTimer_.isSet())
+    closeTimer_.set(scheduler_.now() + (clients_.empty() ? 0 : kParting));
 }
 
 }  // namespace elmcleat
--- a/src/serve/door.h
+++ b/src/serve/listener.h
@@ -4,13 +4,13 @@
 #include <unordered_map>
 
 #include "config/config.h"
-#include "serve/client.h"
+#include "serve/client_connection.h"
 
 namespace elmcleat {
 
-class Door {
+class Listener {
  public:
-  Door(Scheduler& scheduler, const Config& config, Dispatcher& dispatcher);
+  Listener(Scheduler& scheduler, const Config& config, Dispatcher& dispatcher);
   void open();
   bool evictIdle();  // closes the connection that is least likely to ask; false: there is none
   // Graceful shutdown: accepts and serves on for as long as clients may come, and ends the scheduler when all is
@@ -22,21 +22,21 @@
   void admit(int fd, bool full);
   bool accept();
   void close();
-  void over(Client* client);
+  void connectionClosed(ClientConnection* client);
   void endIfDone();
 
   Scheduler& scheduler_;
   const Config& config_;
   Dispatcher& dispatcher_;
-  const size_t most_;  // connections of clients
+  const size_t maxConnections_;  // connections of clients
   MemoryBudget memory_;
   Signal signal_;
-  Timer again_;    // accepting goes on after a pause for want of descriptors
-  Timer leaving_;  // no more clients come
-  Timer parting_;  // those that were told that we end have heard it
-  bool told_ = false, closed_ = false;
+  Timer acceptRetryTimer_;  // accepting goes on after a pause for want of descriptors
+  Timer drainTimer_;        // no more clients come
+  Timer closeTimer_;        // those that were told that we end have heard it
+  bool draining_ = false, closed_ = false;
   std::unique_ptr<Descriptor> listener_;
-  std::unordered_map<Client*, std::shared_ptr<Client>> clients_;
+  std::unordered_map<ClientConnection*, std::shared_ptr<ClientConnection>> clients_;
   Task task_;
 };
 
--- a/src/serve/close_reason.cpp
+++ b/src/serve/outcome.cpp
@@ -1,4 +1,4 @@
-#include "serve/close_reason.h"
+#include "serve/outcome.h"
 
 namespace elmcleat {
 
--- a/src/serve/ask.h
+++ b/src/serve/request_parser.h
@@ -5,17 +5,18 @@
 
 #include "policy.h"
 #include "protocol/http.h"
-#include "serve/ticket.h"
+#include "serve/request_context.h"
 
 namespace elmcleat {
 
 // The command, or the status to answer and what is wrong. `came` is when the first byte of it did.
-struct Reading {
-  std::optional<Ask> ask;
+struct ParsedRequest {
+  std::optional<CommandRequest> request;
   int status = 0;
-  std::string why;
+  std::string error;
 };
 // `actor`: the header that names users below the tenant, with / between them; empty: none.
-Reading readAsk(HttpRequest&& request, const Settings& settings, double came, const std::string& actor = "");
+ParsedRequest parseCommandRequest(HttpRequest&& request, const Settings& settings, double came,
+                                  const std::string& actor = "");
 
 }  // namespace elmcleat
--- a/src/serve/answer.h
+++ b/src/serve/response.h
@@ -8,7 +8,7 @@
 
 namespace elmcleat {
 
-struct Answer {  // the one and last answer to a command
+struct Response {  // the one and last answer to a command
   enum class Kind { served, shed, failed };
   Kind kind = Kind::failed;
   std::string rows;       // JSON, with `served`
@@ -17,27 +17,27 @@
 
 // The pages of one result. They are passed on only when all are there: until then a lost one can be made
 // good by a further send, and the client never sees half a result.
-class Gathering {
+class ResultAssembler {
  public:
-  static constexpr size_t kMostBytes = 48'000;  // of one result
+  static constexpr size_t kMaxResultBytes = 48'000;  // of one result
 
   // Each is false if the page can't belong to this result.
-  bool first(EngineAnswer& answer);
-  bool further(EngineAnswer& answer);
-  bool begun() const { return !pages_.empty(); }
-  bool has(int page) const { return static_cast<size_t>(page) < pages_.size() && pages_[size_t(page)]; }
-  bool whole() const { return begun() && missing_ == 0; }
-  int pages() const { return static_cast<int>(pages_.size()); }
+  bool addFirstPage(EngineAnswer& response);
+  bool addPage(EngineAnswer& response);
+  bool hasStarted() const { return !pages_.empty(); }
+  bool hasPage(int page) const { return static_cast<size_t>(page) < pages_.size() && pages_[size_t(page)]; }
+  bool isComplete() const { return hasStarted() && missing_ == 0; }
+  int pageCount() const { return static_cast<int>(pages_.size()); }
   std::optional<std::string> rows() const;  // none if a row can't be read
 
  private:
-  bool keep(size_t number, std::string& page);
+  bool storePage(size_t number, std::string& page);
 
   std::vector<std::optional<std::string>> pages_;
   size_t missing_ = 0, bytes_ = 0;
 };
 
-const char* nameOf(Answer::Kind kind);
-std::string httpAnswer(const Answer& answer, bool keepAlive);
+const char* nameOf(Response::Kind kind);
+std::string httpAnswer(const Response& response, bool keepAlive);
 
 }  // namespace elmcleat
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -9,13 +9,13 @@
 #include "config/config.h"
 #include "runtime/mailbox.h"
 #include "runtime/stream.h"
-#include "serve/answer.h"
-#include "serve/ask.h"
-#include "serve/client.h"
-#include "serve/close_reason.h"
+#include "serve/client_connection.h"
 #include "serve/dispatcher.h"
-#include "serve/door.h"
 #include "serve/engine.h"
+#include "serve/listener.h"
+#include "serve/outcome.h"
+#include "serve/request_parser.h"
+#include "serve/response.h"
 
 using namespace elmcleat;
 
@@ -171,8 +171,8 @@
   int ends[2];
   REQUIRE_EQ(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends), 0);
   MemoryBudget hold{1 << 20};
-  Client client(loop.scheduler, settings, dispatcher, hold, ends[0]);
-  client.tell([] {}, [] {});
+  ClientConnection client(loop.scheduler, settings, dispatcher, hold, ends[0]);
+  client.onFinished([] {}, [] {});
   client.start();
   REQUIRE_EQ(::write(ends[1], "GET /check HTTP/1.1\r\n\r\n", 23), 23);
   CHECK_FALSE(client.tryEvict());
@@ -185,10 +185,10 @@
   ::close(ends[1]);
 }
 
-struct Waits final : Asker {  // for an answer
-  void answer(Answer) override {}
-  void dismiss() override {}
-  bool present() override { return true; }
+struct Waits final : Responder {  // for an answer
+  void respond(Response) override {}
+  void abandon() override {}
+  bool isConnected() override { return true; }
 };
 
 // An engine with a command that goes to it, and the listener that stands for its machine.
@@ -202,10 +202,10 @@
     REQUIRE_EQ(::listen(listener, 5), 0);
     ::getsockname(listener, reinterpret_cast<sockaddr*>(&native), &size);
     links.sendsPerConnection = 2, links.connectTimeout = 5, links.idle = 15;
-    engine.place({INADDR_LOOPBACK, ntohs(native.sin_port)}, std::nullopt);
-    ticket->asker = &client;  // what nobody waits for does not go out
-    ticket->ask.id = "9b1f", ticket->ask.profile = "quick", ticket->ask.statement = "x";
-    ticket->ask.endsAt = loop.scheduler.now() + 50;
+    engine.setAddress({INADDR_LOOPBACK, ntohs(native.sin_port)}, std::nullopt);
+    ticket->responder = &client;  // what nobody waits for does not go out
+    ticket->request.id = "9b1f", ticket->request.profile = "quick", ticket->request.statement = "x";
+    ticket->request.clientDeadline = loop.scheduler.now() + 50;
   }
   ~OneEngine() { ::close(peer), ::close(listener); }
   void accept() {
@@ -218,10 +218,10 @@
   int listener, peer = -1;
   Dispatcher dispatcher;
   size_t most = 1;
-  LinkRoom room;
+  ConnectionQuota room;
   Engine engine{loop.scheduler, links, dispatcher, 7, most, room};
   Waits client;
-  std::shared_ptr<Ticket> ticket = std::make_shared<Ticket>();
+  std::shared_ptr<RequestContext> ticket = std::make_shared<RequestContext>();
 };
 
 TEST_CASE("a new priority follows a send that is out, and not one that waits for its connection") {
@@ -276,7 +276,7 @@
   ::close(probe);
   config.listen = {INADDR_LOOPBACK, ntohs(native.sin_port)}, config.sockets = 96, config.memoryMb = 192;
   Dispatcher dispatcher(loop.scheduler, config.settings, 1);
-  Door door(loop.scheduler, config, dispatcher);
+  Listener door(loop.scheduler, config, dispatcher);
   door.open();
   std::vector<int> stampede;
   for (int i = 0; i < 300; ++i) {
@@ -326,23 +326,23 @@
     return answer;
   };
   auto first = page(0, "a\tb\tc\n", 3), last = page(2, "g\th\ti\n"), middle = page(1, "d\te\tf\n");
-  Gathering pages;
-  CHECK_FALSE(pages.further(middle));
-  CHECK(pages.first(first));
-  CHECK_FALSE(pages.first(first));
-  CHECK(pages.further(last));
-  CHECK_FALSE(pages.whole());
-  CHECK_FALSE(pages.further(last));
+  ResultAssembler pages;
+  CHECK_FALSE(pages.addPage(middle));
+  CHECK(pages.addFirstPage(first));
+  CHECK_FALSE(pages.addFirstPage(first));
+  CHECK(pages.addPage(last));
+  CHECK_FALSE(pages.isComplete());
+  CHECK_FALSE(pages.addPage(last));
   auto beyond = page(3, "");
-  CHECK_FALSE(pages.further(beyond));
-  CHECK(pages.further(middle));
-  CHECK(pages.whole());
+  CHECK_FALSE(pages.addPage(beyond));
+  CHECK(pages.addPage(middle));
+  CHECK(pages.isComplete());
   CHECK_EQ(*pages.rows(), R"([["a","b","c"],["d","e","f"],["g","h","i"]])");
-  Gathering large;
+  ResultAssembler large;
   auto most = page(0, "", 2), rest = page(1, "");
-  most.body = std::string(Gathering::kMostBytes, 'x'), rest.body = "x";
-  CHECK(large.first(most));
-  CHECK_FALSE(large.further(rest));
+  most.body = std::string(ResultAssembler::kMaxResultBytes, 'x'), rest.body = "x";
+  CHECK(large.addFirstPage(most));
+  CHECK_FALSE(large.addPage(rest));
 }
 
 TEST_CASE("a request becomes a command, or a status with a reason") {
@@ -351,18 +351,18 @@
   settings.profiles[0].name = "report", settings.profiles[0].retrySafety = RetrySafety::deduplicated;
   settings.profiles[1].name = "quick";
   settings.tenants = {{"acme", 1, 0}};
-  Reading good = readAsk(request(), settings, 10);
-  REQUIRE(good.ask);
-  CHECK_EQ(good.ask->id, "9b1f03aa5c7e2d41");
-  CHECK_EQ(good.ask->endsAt, doctest::Approx(11.5));
-  CHECK_EQ(good.ask->work, doctest::Approx(0.8205));
-  CHECK_EQ(good.ask->memoryMb, 96);
-  CHECK_EQ(*good.ask->key, 0x7f3a9c21e0b4d655);
-  CHECK_EQ(good.ask->tables, 17);
+  ParsedRequest good = parseCommandRequest(request(), settings, 10);
+  REQUIRE(good.request);
+  CHECK_EQ(good.request->id, "9b1f03aa5c7e2d41");
+  CHECK_EQ(good.request->clientDeadline, doctest::Approx(11.5));
+  CHECK_EQ(good.request->estimatedWork, doctest::Approx(0.8205));
+  CHECK_EQ(good.request->estimatedMemoryMb, 96);
+  CHECK_EQ(*good.request->orderingKey, 0x7f3a9c21e0b4d655);
+  CHECK_EQ(good.request->tableGroup, 17);
   auto status = [&](std::initializer_list<std::pair<const char*, const char*>> changed,
                     const char* path = "/do/report") {
-    Reading reading = readAsk(request(changed, path), settings, 10);
-    return reading.ask ? 0 : reading.status;
+    ParsedRequest reading = parseCommandRequest(request(changed, path), settings, 10);
+    return reading.request ? 0 : reading.status;
   };
   CHECK_EQ(status({{"req-cost", "-"}, {"x-ram", "-"}, {"req-key", "-"}}), 0);
   CHECK_EQ(status({{"req-token", "-"}}, "/do/quick"), 0);
