--- a/bench/budget_bench.cpp
+++ b/bench/budget_bench.cpp
@@ -4,7 +4,7 @@
 
 #include <deque>
 
-#include "budget/office.h"
+#include "budget/tree_scheduler.h"
 #include "pcg32.h"
 
 using namespace elmcleat;
@@ -16,30 +16,30 @@
 
 void index(benchmark::State& state) {
   size_t teams = size_t(state.range(0)), held = size_t(state.range(1));
-  Plan plan;
+  BudgetSettings plan;
   plan.maxNodes = 2 * teams + 16;
   for (size_t i = 0; i < teams; ++i) {
-    Entry entry{"t" + std::to_string(i), "", {}};
+    NodeEntry entry{"t" + std::to_string(i), "", {}};
     if (i % 2)
-      entry.terms.guarantee.cores = 1.0 / double(teams);
-    entry.terms.weight = 1 + double(i % 7);
+      entry.settings.guarantee.cores = 1.0 / double(teams);
+    entry.settings.weight = 1 + double(i % 7);
     plan.entries.push_back(entry);
   }
-  Tree tree(plan, 1);
+  BudgetTree tree(plan, 1);
   Pcg32 chance(3);
-  std::deque<Item> items(held);
+  std::deque<QueuedCommand> items(held);
   double now = 0;
   for (auto& item : items) {
-    item.actor = actorOf(chance.next() % teams), item.work = 0.1;
-    tree.take(item, now), tree.hold(item, false, now);
+    item.path = actorOf(chance.next() % teams), item.work = 0.1;
+    tree.add(item, now), tree.enqueue(item, false, now);
   }
   for (auto _ : state) {  // one of each: a pick, its start and ending, and an arrival in its place
     now += 1e-4;
-    Item* item = tree.next(now);
-    tree.unhold(*item, now), tree.started(*item, now);
-    tree.ended(*item, 0.1, now), tree.forget(*item, now);
-    item->actor = actorOf(chance.next() % teams);
-    tree.take(*item, now), tree.hold(*item, false, now);
+    QueuedCommand* item = tree.selectNext(now);
+    tree.dequeue(*item, now), tree.sendStarted(*item, now);
+    tree.sendFinished(*item, 0.1, now), tree.remove(*item, now);
+    item->path = actorOf(chance.next() % teams);
+    tree.add(*item, now), tree.enqueue(*item, false, now);
   }
 }
 
@@ -110,11 +110,12 @@
   set.profiles = {profile};
   for (size_t i = 0; i < teams; ++i)
     set.tenants.push_back({"t" + std::to_string(i), 1.0 / double(teams), 0});
-  Plan plan;
+  BudgetSettings plan;
   plan.maxNodes = 2 * teams + 16;
-  Office office(plan, 1);
+  TreeScheduler scheduler(plan, 1);
   Quiet actions;
-  auto policy = createPolicy(set, 5, actions, budgets ? &office : nullptr);  // without an engine: all is held
+  auto policy =
+      createPolicy(set, 5, actions, budgets ? &scheduler : nullptr);  // without an engine: all is held
   std::vector<std::shared_ptr<Command>> commands;
   Pcg32 chance(3);
   double now = 0;
--- a/bench/engines_bench.cpp
+++ b/bench/engines_bench.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "policy.h"
-#include "view/view.h"
+#include "view/engine_subset.h"
 
 using namespace elmcleat;
 
@@ -46,7 +46,7 @@
 };
 
 // `plan`: a view of the list, of 2,400 dispatchers; none: the whole list.
-Cost costOf(uint32_t engines, const view::Plan* plan) {
+Cost costOf(uint32_t engines, const view::SubsetSettings* plan) {
   Settings set;
   Profile quick;
   quick.name = "quick", quick.latencyTarget = 1, quick.latencyTargetStretch = 2, quick.clientTimeout = 5,
@@ -63,7 +63,7 @@
     whole.rows[i].row = {i + 1, "a", "eight", 0, EngineState::inService, {}};
     whole.rows[i].address = {0x0a000001 + i, 4100};
   }
-  std::optional<view::View> seen;
+  std::optional<view::EngineSubset> seen;
   if (plan)
     seen.emplace(*plan, set);
   std::vector<EngineRecord> rows;
@@ -74,7 +74,7 @@
     for (auto& listing : whole.rows)
       rows.push_back(listing.row);
   Sink sink;
-  auto policy = createPolicy(seen ? seen->local() : set, 7, sink);
+  auto policy = createPolicy(seen ? seen->localSettings() : set, 7, sink);
   double now = 0;
   policy->advanceTo(now);
   policy->updateEngines(EngineListKind::full, rows), policy->decide();
@@ -116,9 +116,10 @@
       "| engines listed | in use | sweep, us | part of a core at 20 sweeps a second | command, us | memory, "
       "KB |\n"
       "| --- | --- | --- | --- | --- | --- |\n");
-  view::Plan plan;
+  view::SubsetSettings plan;
   for (uint32_t engines : {10, 80, 344, 350, 1024, 4096, 16384, 44000})
-    for (const view::Plan* which : {static_cast<const view::Plan*>(nullptr), &std::as_const(plan)}) {
+    for (const view::SubsetSettings* which :
+         {static_cast<const view::SubsetSettings*>(nullptr), &std::as_const(plan)}) {
       Cost cost = costOf(engines, which);
       std::printf("| %u%s | %ld | %.1f | %.4f | %.1f | %ld |\n", engines, which ? ", view" : "", cost.inUse,
                   cost.sweep, cost.sweep * 20e-6, cost.command, cost.memory);
--- a/bench/view_bench.cpp
+++ b/bench/view_bench.cpp
@@ -16,8 +16,8 @@
 #include <random>
 #include <vector>
 
-#include "view/rank.h"
-#include "view/view.h"
+#include "view/engine_subset.h"
+#include "view/rendezvous_rank.h"
 
 using namespace elmcleat;
 using namespace elmcleat::view;
@@ -53,7 +53,7 @@
 std::vector<uint32_t> rendezvous(const Ids& list, int ordinal, int dispatchers, int users) {
   std::vector<uint32_t> mine;
   for (uint32_t e = 0; e < list.size(); ++e)
-    if (placeOf(list[e], ordinal, dispatchers, users) < users)
+    if (rendezvousRank(list[e], ordinal, dispatchers, users) < users)
       mine.push_back(e);
   return mine;
 }
@@ -85,12 +85,12 @@
   explicit Ring(int dispatchers) {
     for (int d = 0; d < dispatchers; ++d)
       for (uint32_t point = 0; point < 64; ++point)
-        points.push_back({weightOf(~point, uint32_t(d)), d});
+        points.push_back({rendezvousWeight(~point, uint32_t(d)), d});
     std::ranges::sort(points);
   }
   template <class Visit>  // until it says that it is enough
   void next(uint32_t engine, int users, std::vector<int>& seen, Visit&& visit) const {
-    auto at = std::ranges::lower_bound(points, std::pair{weightOf(engine, 0xffffff), 0});
+    auto at = std::ranges::lower_bound(points, std::pair{rendezvousWeight(engine, 0xffffff), 0});
     seen.clear();
     while (int(seen.size()) < users) {
       if (at == points.end())
@@ -129,7 +129,7 @@
         ring.next(list[e], users, seen, [&](int d) { return all[e].push_back(uint16_t(d)), false; });
       } else {
         for (int d = 0; d < dispatchers; ++d)
-          order[size_t(d)] = {~weightOf(list[e], uint32_t(d)), uint16_t(d)};
+          order[size_t(d)] = {~rendezvousWeight(list[e], uint32_t(d)), uint16_t(d)};
         std::ranges::nth_element(order, order.begin() + users);
         for (int i = 0; i < users; ++i)
           all[e].push_back(order[size_t(i)].second);
@@ -290,20 +290,20 @@
     one.row.kind = std::string("k").append(std::to_string(i / 16 % 8 ? i % 2 : 2));
   }
   double now = 1e9;
-  Plan plan;
-  double start = medianOf(5, [&] { View(plan, set).apply(list, now); });
+  SubsetSettings plan;
+  double start = medianOf(5, [&] { EngineSubset(plan, set).apply(list, now); });
   auto bytes = [] {
     auto info = mallinfo2();
     return info.uordblks + info.hblkhd;
   };
   malloc_trim(0);
   size_t before = bytes();
-  View view(plan, set);
+  EngineSubset view(plan, set);
   Ids near;
   for (auto& change : view.apply(list, now))
     near.push_back(change.row.id);
   size_t held = bytes() - before;
-  Figures figures = view.figures();
+  SubsetStatistics figures = view.statistics();
   auto us = [](double took) { return took * 1e6; };
   double same = medianOf(21, [&] { view.apply(list, now += 1); });
   double idle = medianOf(1001, [&] { view.tick(now += 0.1); });
@@ -326,10 +326,10 @@
   view.apply(list, now += 1);
   bool is = false;
   double rest =
-      medianOf(1001, [&] { view.rests(near[id++ / 2 % near.size()], is = !is), view.tick(now += 0.1); });
+      medianOf(1001, [&] { view.setEjected(near[id++ / 2 % near.size()], is = !is), view.tick(now += 0.1); });
   view.apply({1, true, {}}, now += 1), view.apply(list, now += 1);
-  while (view.wakes() < HUGE_VAL)
-    view.tick(now = view.wakes());  // until it is as narrow as at first
+  while (view.nextWakeUp() < HUGE_VAL)
+    view.tick(now = view.nextWakeUp());  // until it is as narrow as at first
   ListEvent zone{1, false, {}};
   for (auto& row : list.rows)
     if (row.row.zone == "z5")
@@ -355,9 +355,10 @@
       "| %zu engines gone in one event | %.0f | %zu |\n| back, cold, in one event | %.0f | %zu |\n"
       "| warm, in one tick | %.0f | %zu |\n\n"
       "In view %zu, reach %d; %zu bytes held, %.1f an engine, those in view included.\n",
-      dispatchers, engines, plan.users, plan.mostUsers, us(start), near.size(), us(same), us(one), us(comes),
-      us(goes), us(rest), us(idle), zone.rows.size(), us(gone.first), gone.second, us(back.first),
-      back.second, us(warm.first), warm.second, figures.used, figures.reach, held, double(held) / engines);
+      dispatchers, engines, plan.usersPerEngine, plan.maxUsersPerEngine, us(start), near.size(), us(same),
+      us(one), us(comes), us(goes), us(rest), us(idle), zone.rows.size(), us(gone.first), gone.second,
+      us(back.first), back.second, us(warm.first), warm.second, figures.inUse, figures.depth, held,
+      double(held) / engines);
 }
 
 }  // namespace
--- a/src/budget/office.h
+++ b/src/budget/tree_scheduler.h
@@ -6,34 +6,36 @@
 #include <optional>
 #include <unordered_map>
 
-#include "budget/tree.h"
-#include "budget/waits.h"
+#include "budget/budget_tree.h"
+#include "budget/wait_estimator.h"
 #include "policy.h"
-#include "shared/usable.h"
+#include "shared/available_quota.h"
 #include "sliding_window_sum.h"
 
 namespace elmcleat::budget {
 
-class Office final : public BudgetScheduler {
+class TreeScheduler final : public BudgetScheduler {
  public:
   // `gateways`: how many share what the plan gives.
-  Office(const Plan& plan, int gateways);
-  void change(const Plan& plan);  // with commands held and out
+  TreeScheduler(const BudgetSettings& settings, int gateways);
+  void reconfigure(const BudgetSettings& settings);  // with commands held and out
 
   // Rates that are shared with other gateways, in the order of fleetRates(plan), instead of an equal part of each. Until
   // when they hold stands in them: it is looked at before each decision.
-  void share(std::vector<shared::Usable> usable);
+  void setQuotas(std::vector<shared::AvailableQuota> usable);
   std::vector<double>
-  wants();  // of the same: cores that there is use for here, by the last second and what is held
-  bool shares() const { return shared_ != nullptr; }
+  demand();  // of the same: cores that there is use for here, by the last second and what is held
+  bool hasSharedQuotas() const { return shared_ != nullptr; }
 
   // What a command was told when it came; and what it would be told if it came again now.
-  std::optional<Estimate> told(const Command& command) const;
-  Estimate again(const Command& command) const;
+  std::optional<WaitEstimate> estimateAtArrival(const Command& command) const;
+  WaitEstimate estimateNow(const Command& command) const;
   // Called when a command that was told something starts for the first time: told, and seconds held.
-  void onWait(std::function<void(Command&, Estimate, double)> hear) { hear_ = std::move(hear); }
+  void onWaitMeasured(std::function<void(Command&, WaitEstimate, double)> hear) {
+    waitMeasured_ = std::move(hear);
+  }
 
-  const Tree& tree() const { return tree_; }
+  const BudgetTree& tree() const { return tree_; }
 
   // BudgetScheduler
   void advanceTo(double now) override;
@@ -47,18 +49,18 @@
   void remove(Command& command) override;
   bool isGuaranteed(Command& command) override;
   Preemption selectPreemption() override;
-  double nextWakeUp() override { return tree_.wakes(now_); }
+  double nextWakeUp() override { return tree_.nextWakeUp(now_); }
 
  private:
   struct Entry {
-    Item item;
+    QueuedCommand queuedCommand;
     Command* command = nullptr;
-    std::optional<Estimate> told;
+    std::optional<WaitEstimate> told;
     bool begun = false;
   };
   struct Shared {
     std::vector<FleetRate> rates;
-    std::vector<shared::Usable> usable;
+    std::vector<shared::AvailableQuota> usable;
     std::vector<double> inForce;                     // cores
     std::vector<SlidingWindowSum> asked, askedLong;  // work, over one second and over ten
     std::unordered_map<std::string, std::vector<size_t>> byPath;
@@ -68,12 +70,12 @@
   Entry& entryOf(const Command& command) const { return *entries_.at(&command); }
 
   std::unique_ptr<Shared> shared_;  // none: an equal part of all
-  Tree tree_;
-  Waits waits_;
-  double part_, now_ = 0;
+  BudgetTree tree_;
+  WaitEstimator waits_;
+  double gatewayShare_, now_ = 0;
   std::unordered_map<const Command*, std::unique_ptr<Entry>> entries_;
-  std::unordered_map<const Item*, Entry*> items_;
-  std::function<void(Command&, Estimate, double)> hear_;
+  std::unordered_map<const QueuedCommand*, Entry*> items_;
+  std::function<void(Command&, WaitEstimate, double)> waitMeasured_;
 };
 
 }  // namespace elmcleat::budget
--- a/src/budget/waits.cpp
+++ b/src/budget/wait_estimator.cpp
@@ -1,4 +1,4 @@
-#include "budget/waits.h"
+#include "budget/wait_estimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,46 +17,46 @@
 }  // namespace
 
 // The nearest queue above that tells how fast it goes: the command's own goes as fast as it, for its part.
-double Waits::base(const Item& item, double now) {
-  for (const Node* node = item.leaf; node; node = node->parent) {
-    double rate = node->drain.rate(now);
+double WaitEstimator::base(const QueuedCommand& item, double now) {
+  for (const BudgetNode* node = item.leaf; node; node = node->parent) {
+    double rate = node->departures.rate(now);
     if (rate > 0)
-      return (node->heldWork + item.work / 2) / rate;
+      return (node->queuedWork + item.work / 2) / rate;
   }
   return 0;
 }
 
-std::string Waits::keyOf(const Item& item) const {
-  std::string profile = item.actor.empty() ? "" : item.actor.back();
+std::string WaitEstimator::keyOf(const QueuedCommand& item) const {
+  std::string profile = item.path.empty() ? "" : item.path.back();
   return factors_.size() >= kProfiles && !factors_.contains(profile) ? "" : profile;
 }
 
-double Waits::reckoned(const Item& item, double now) {
-  bool empty = item.leaf && item.leaf->held == 0 && item.leaf->drain.rate(now) > 0;
+double WaitEstimator::reckoned(const QueuedCommand& item, double now) {
+  bool empty = item.leaf && item.leaf->queued == 0 && item.leaf->departures.rate(now) > 0;
   double byQueue = kLeast + (empty ? 0 : base(item, now));
-  if (!item.leaf || item.leaf->waitLog == 0)
+  if (!item.leaf || item.leaf->meanLogWait == 0)
     return byQueue;
   // In the mean of logarithms: the queue tells what is new, waits of late what draws add to it.
-  return std::pow(byQueue, kQueuePart) * std::pow(kLeast + std::exp(item.leaf->waitLog), 1 - kQueuePart);
+  return std::pow(byQueue, kQueuePart) * std::pow(kLeast + std::exp(item.leaf->meanLogWait), 1 - kQueuePart);
 }
 
-Estimate Waits::would(const Item& item, double now) const {
+WaitEstimate WaitEstimator::estimateWait(const QueuedCommand& item, double now) const {
   auto found = factors_.find(keyOf(item));
   Factors factors = found == factors_.end() ? Factors{} : found->second;
   double all = reckoned(item, now), half = all * std::exp(factors.log[0]);
   return {half, std::max(half * kSpread, all * std::exp(factors.log[1]))};
 }
 
-Estimate Waits::arrives(const Item& item, double now) {
+WaitEstimate WaitEstimator::commandArrived(const QueuedCommand& item, double now) {
   Factors& factors = factors_[keyOf(item)];
-  Estimate estimate = would(item, now);
-  Pending& pending = pending_[item.number] = {&factors, now, reckoned(item, now), {}};
+  WaitEstimate estimate = estimateWait(item, now);
+  Pending& pending = pending_[item.arrivalNumber] = {&factors, now, reckoned(item, now), {}};
   for (size_t i = 0; i < kSure.size(); ++i)
-    due_.push({now + pending.base * std::exp(factors.log[i]), item.number, i});
+    due_.push({now + pending.base * std::exp(factors.log[i]), item.arrivalNumber, i});
   return estimate;
 }
 
-void Waits::at(double now) {
+void WaitEstimator::advanceTo(double now) {
   while (!due_.empty() && due_.top().at < now) {
     Due one = due_.top();
     due_.pop();
@@ -75,9 +75,9 @@
   }
 }
 
-std::optional<double> Waits::started(const Item& item, double now) {
-  at(now);
-  auto found = pending_.find(item.number);
+std::optional<double> WaitEstimator::commandStarted(const QueuedCommand& item, double now) {
+  advanceTo(now);
+  auto found = pending_.find(item.arrivalNumber);
   if (found == pending_.end())
     return std::nullopt;
   Pending& pending = found->second;
@@ -89,15 +89,15 @@
       log = std::max(log - kStep * (1 - kSure[i]), -kLogMost);
   }
   if (waited && item.leaf) {
-    double& mean = item.leaf->waitLog;
+    double& mean = item.leaf->meanLogWait;
     mean = mean == 0 ? std::log(held) : mean + kWaitStep * (std::log(held) - mean);
   }
   pending_.erase(found);
   return held;
 }
 
-void Waits::left(const Item& item) {
-  auto found = pending_.find(item.number);
+void WaitEstimator::commandLeft(const QueuedCommand& item) {
+  auto found = pending_.find(item.arrivalNumber);
   if (found == pending_.end())
     return;
   for (size_t i = 0; i < kSure.size(); ++i)
--- a/src/budget/waits.h
+++ b/src/budget/wait_estimator.h
@@ -17,24 +17,24 @@
 #include <unordered_map>
 #include <vector>
 
-#include "budget/tree.h"
+#include "budget/budget_tree.h"
 
 namespace elmcleat::budget {
 
-struct Estimate {  // seconds held: no longer, with a sureness of a half, and of nine in ten
-  double half = 0, nine = 0;
+struct WaitEstimate {  // seconds held: no longer, with a sureness of a half, and of nine in ten
+  double median = 0, p90 = 0;
 };
 
-class Waits {
+class WaitEstimator {
  public:
   // What a command would be told that came to this leaf now.
-  Estimate would(const Item& item, double now) const;
+  WaitEstimate estimateWait(const QueuedCommand& item, double now) const;
   // Comes; told before it is held.
-  Estimate arrives(const Item& item, double now);
+  WaitEstimate commandArrived(const QueuedCommand& item, double now);
   // Its first start: the wait is over, and known. Seconds held; none if it was told nothing.
-  std::optional<double> started(const Item& item, double now);
-  void left(const Item& item);  // ended without a start
-  void at(double now);          // counts what was told and has passed
+  std::optional<double> commandStarted(const QueuedCommand& item, double now);
+  void commandLeft(const QueuedCommand& item);  // ended without a start
+  void advanceTo(double now);                   // counts what was told and has passed
 
  private:
   static constexpr std::array<double, 2> kSure = {0.52, 0.92};  // a little more: who is shed never counts
@@ -52,9 +52,9 @@
     size_t which;
     bool operator<(const Due& other) const { return at > other.at; }  // the soonest on top
   };
-  static double base(const Item& item, double now);
-  static double reckoned(const Item& item, double now);
-  std::string keyOf(const Item& item) const;
+  static double base(const QueuedCommand& item, double now);
+  static double reckoned(const QueuedCommand& item, double now);
+  std::string keyOf(const QueuedCommand& item) const;
 
   std::map<std::string, Factors> factors_;  // by profile
   std::unordered_map<uint64_t, Pending> pending_;
--- a/src/config/gateway.cpp
+++ b/src/config/gateway.cpp
@@ -7,8 +7,8 @@
 namespace elmcleat {
 namespace {
 
-budget::Amounts readAmounts(const Section& section) {
-  budget::Amounts amounts;
+budget::ResourceAmounts readAmounts(const Section& section) {
+  budget::ResourceAmounts amounts;
   if (section.has("cores"))
     amounts.cores = section.need<double>("cores");
   if (section.has("memoryMb"))
@@ -18,38 +18,39 @@
   return amounts;
 }
 
-budget::Terms readTerms(const Section& section, const budget::Terms& otherwise) {
-  budget::Terms terms = otherwise;
+budget::NodeSettings readTerms(const Section& section, const budget::NodeSettings& otherwise) {
+  budget::NodeSettings terms = otherwise;
   terms.guarantee = readAmounts(section.part("guarantee"));
   if (section.has("ceiling"))
     terms.ceiling = readAmounts(section.part("ceiling"));
   terms.burst = section.get("burstS", otherwise.burst);
   terms.weight = section.get("weight", otherwise.weight);
   terms.priority = section.get("priority", otherwise.priority);
-  terms.ageAfter = section.get("ageAfterS", otherwise.ageAfter);
+  terms.agingThreshold = section.get("ageAfterS", otherwise.agingThreshold);
   return terms;
 }
 
 }  // namespace
 
-budget::Plan readBudgets(const Section& section) {
-  budget::Plan plan;
-  plan.cores = section.get("cores", plan.cores);
-  plan.actor = section.get("actor", plan.actor);
+budget::BudgetSettings readBudgets(const Section& section) {
+  budget::BudgetSettings plan;
+  plan.totalCores = section.get("cores", plan.totalCores);
+  plan.actorHeader = section.get("actor", plan.actorHeader);
   plan.maxNodes = section.get("maxNodes", plan.maxNodes);
-  plan.idle = section.get("idleS", plan.idle);
-  plan.agedPart = section.get("agedPart", plan.agedPart);
-  plan.yield = section.get("yieldS", plan.yield);
-  plan.preempt = section.word<budget::Preempt>("preempt", "lower",
-                                               {{"off", budget::Preempt::off},
-                                                {"lower", budget::Preempt::lower},
-                                                {"cancel", budget::Preempt::cancel}});
-  plan.preemptAfter = section.get("preemptAfterS", plan.preemptAfter);
-  plan.tellWaits = section.get("tellWaits", plan.tellWaits);
-  plan.otherwise = readTerms(section.part("default"), plan.otherwise);
+  plan.idleTimeout = section.get("idleS", plan.idleTimeout);
+  plan.agedShare = section.get("agedPart", plan.agedShare);
+  plan.borrowerYieldTime = section.get("yieldS", plan.borrowerYieldTime);
+  plan.preemptionMode =
+      section.word<budget::PreemptionMode>("preempt", "lower",
+                                           {{"off", budget::PreemptionMode::off},
+                                            {"lower", budget::PreemptionMode::lowerPriority},
+                                            {"cancel", budget::PreemptionMode::cancel}});
+  plan.preemptionDelay = section.get("preemptAfterS", plan.preemptionDelay);
+  plan.adviseRetryAfter = section.get("tellWaits", plan.adviseRetryAfter);
+  plan.defaults = readTerms(section.part("default"), plan.defaults);
   for (auto& row : section.rows("nodes"))
     plan.entries.push_back(
-        {row.need<std::string>("name"), row.get<std::string>("parent", ""), readTerms(row, plan.otherwise)});
+        {row.need<std::string>("name"), row.get<std::string>("parent", ""), readTerms(row, plan.defaults)});
   return plan;
 }
 
@@ -69,23 +70,24 @@
   return plan;
 }
 
-shared::LoanTerms readShared(const Section& section, int members, const budget::Plan& budgets) {
-  shared::LoanTerms terms;
-  terms.members = members;
-  terms.kept = section.get("keptPart", terms.kept);
-  terms.length = section.get("loanS", terms.length), terms.guard = section.get("guardS", terms.guard);
+shared::LeaseSettings readShared(const Section& section, int members, const budget::BudgetSettings& budgets) {
+  shared::LeaseSettings terms;
+  terms.memberCount = members;
+  terms.reservedShare = section.get("keptPart", terms.reservedShare);
+  terms.leaseDuration = section.get("loanS", terms.leaseDuration),
+  terms.guardTime = section.get("guardS", terms.guardTime);
   for (auto& rate : budget::fleetRates(budgets))
-    terms.amounts.push_back(rate.cores);
+    terms.quotas.push_back(rate.cores);
   return terms;
 }
 
-view::Plan readView(const Section& section) {
-  view::Plan plan;
-  plan.users = section.get("users", plan.users);
-  plan.mostUsers = section.get("mostUsers", std::max(plan.mostUsers, plan.users));
-  plan.least = section.get("least", plan.least);
-  plan.usablePart = section.get("usablePart", plan.usablePart);
-  plan.narrowAfter = section.get("narrowAfterS", plan.narrowAfter);
+view::SubsetSettings readView(const Section& section) {
+  view::SubsetSettings plan;
+  plan.usersPerEngine = section.get("users", plan.usersPerEngine);
+  plan.maxUsersPerEngine = section.get("mostUsers", std::max(plan.maxUsersPerEngine, plan.usersPerEngine));
+  plan.minEnginesPerClass = section.get("least", plan.minEnginesPerClass);
+  plan.minUsableShare = section.get("usablePart", plan.minUsableShare);
+  plan.narrowingDelay = section.get("narrowAfterS", plan.narrowingDelay);
   return plan;
 }
 
@@ -108,8 +110,8 @@
   };
   read("budgets", [&](const Section& section) {
     config.budgets = readBudgets(section);
-    for (auto& fault : budget::faultsOf(*config.budgets))
-      faults.push_back(path + ": budgets." + fault.key + ": " + fault.why);
+    for (auto& fault : budget::validate(*config.budgets))
+      faults.push_back(path + ": budgets." + fault.key + ": " + fault.message);
   });
   read("members", [&](const Section& section) {
     config.members = readMembers(section);
@@ -128,18 +130,18 @@
       return;
     }
     config.shared = readShared(section, int(config.members->peers.size()), *config.budgets);
-    for (auto& flaw : shared::flawsOf(*config.shared))
-      faults.push_back(path + ": shared." + flaw.key + ": " + flaw.why);
-    if (config.shared->length + 2 * config.shared->guard > config.members->longestPromise)
+    for (auto& flaw : shared::validate(*config.shared))
+      faults.push_back(path + ": shared." + flaw.key + ": " + flaw.message);
+    if (config.shared->leaseDuration + 2 * config.shared->guardTime > config.members->longestPromise)
       faults.push_back(path + ": shared.loanS: with its guards it is longer than members.longestPromiseS");
-    if (config.shared->amounts.empty())
+    if (config.shared->quotas.empty())
       faults.push_back(path +
                        ": shared: budgets name no guarantee and no ceiling in cores: nothing is shared");
   });
   read("view", [&](const Section& section) {
     config.view = readView(section);
-    for (auto& flaw : view::flawsOf(*config.view))
-      faults.push_back(path + ": view." + flaw.key + ": " + flaw.why);
+    for (auto& flaw : view::validate(*config.view))
+      faults.push_back(path + ": view." + flaw.key + ": " + flaw.message);
   });
   if (!faults.empty())
     throw Faults(std::move(faults));
--- a/src/config/gateway.h
+++ b/src/config/gateway.h
@@ -4,19 +4,19 @@
 #include <optional>
 #include <string>
 
-#include "budget/plan.h"
+#include "budget/budget_settings.h"
 #include "config/schema.h"
 #include "members/plan.h"
-#include "shared/loans.h"
-#include "view/plan.h"
+#include "shared/lease_manager.h"
+#include "view/subset_settings.h"
 
 namespace elmcleat {
 
 struct GatewayConfig {
-  std::optional<budget::Plan> budgets;      // none: the module's own turns decide alone
-  std::optional<members::Plan> members;     // none: this process speaks with no other
-  std::optional<shared::LoanTerms> shared;  // none: budgets are divided equally; else by loans
-  std::optional<view::Plan> view;           // none: this process uses all engines of the list
+  std::optional<budget::BudgetSettings> budgets;  // none: the module's own turns decide alone
+  std::optional<members::Plan> members;           // none: this process speaks with no other
+  std::optional<shared::LeaseSettings> shared;    // none: budgets are divided equally; else by loans
+  std::optional<view::SubsetSettings> view;       // none: this process uses all engines of the list
 };
 
 // Throws Faults, with all that is wrong.
@@ -24,10 +24,10 @@
 GatewayConfig readGateway(const Json& document, const std::string& path);
 
 // The sections by themselves; the laboratory's scenarios hold them too.
-budget::Plan readBudgets(const Section& section);
+budget::BudgetSettings readBudgets(const Section& section);
 members::Plan readMembers(const Section& section);
-view::Plan readView(const Section& section);
+view::SubsetSettings readView(const Section& section);
 // Members and amounts are those of the whole fleet.
-shared::LoanTerms readShared(const Section& section, int members, const budget::Plan& budgets);
+shared::LeaseSettings readShared(const Section& section, int members, const budget::BudgetSettings& budgets);
 
 }  // namespace elmcleat
--- a/src/control/control.cpp
+++ b/src/control/control.cpp
@@ -13,7 +13,7 @@
 #include "members/core.h"
 #include "members/shell.h"
 #include "runtime/log.h"
-#include "shared/wire.h"
+#include "shared/lease_codec.h"
 
 namespace elmcleat {
 namespace {
@@ -55,8 +55,8 @@
     std::vector<std::string> names;
     for (auto& rate : sharing->rates)
       names.push_back(rate.name());
-    wire = std::make_unique<shared::LetterWire>(names, sharing->terms.amounts);
-    loans = std::make_unique<shared::Loans>(sharing->terms, self, life.instance, seed, clock.now());
+    wire = std::make_unique<shared::LeaseCodec>(names, sharing->terms.quotas);
+    leases = std::make_unique<shared::LeaseManager>(sharing->terms, self, life.instance, seed, clock.now());
   }
 
   members::Plan plan;
@@ -68,10 +68,10 @@
   Signal signal;  // stop() may have been called
   double toldAt = -1;
   uint64_t told = 0;  // the number of the last view
-  std::unique_ptr<shared::LetterWire> wire;
-  std::unique_ptr<shared::Loans> loans;  // none: nothing is shared
+  std::unique_ptr<shared::LeaseCodec> wire;
+  std::unique_ptr<shared::LeaseManager> leases;  // none: nothing is shared
   // Letters that rest on what traffic has to heed first, with the view that tells it so.
-  std::deque<std::pair<uint64_t, shared::Letter>> waiting;
+  std::deque<std::pair<uint64_t, shared::LeaseMessage>> waiting;
 };
 
 Control::Control(const Clock& clock, const members::Plan& plan, const std::string& name, uint64_t seed,
@@ -104,8 +104,8 @@
 void Control::tell(Inside& inside, double now) {
   auto told = std::make_unique<Told>();
   told->members = inside.core.view(now);
-  for (size_t i = 0; inside.loans && i < inside.loans->amounts(); ++i)
-    told->usable.push_back(inside.loans->parts(i, now));
+  for (size_t i = 0; inside.leases && i < inside.leases->quotaCount(); ++i)
+    told->usable.push_back(inside.leases->availableQuota(i, now));
   inside.toldAt = now, inside.told = told->members.number;
   told_.put(std::move(told));
 }
@@ -114,32 +114,32 @@
 // traffic has said that it heeds the view with it. So what all use never adds up to more, not even for the moment until
 // traffic looks; while it hangs nothing is lent.
 void Control::lend(Inside& inside, double now) {
-  auto& loans = inside.loans;
+  auto& loans = inside.leases;
   auto& core = inside.core;
   if (const auto* wants = wants_.get())
-    for (size_t i = 0; i < wants->size() && i < loans->amounts(); ++i)
-      loans->want(i, (*wants)[i]);
+    for (size_t i = 0; i < wants->size() && i < loans->quotaCount(); ++i)
+      loans->setDemand(i, (*wants)[i]);
   for (size_t i = 0; i < inside.plan.peers.size(); ++i)
-    loans->there(int(i), core.claimOf(members::Member(i)).state == members::State::alive);
+    loans->setMemberAlive(int(i), core.claimOf(members::Member(i)).state == members::State::alive);
   for (auto& parcel : core.parcels()) {
-    auto letter = inside.wire->read(parcel.bytes, parcel.from, inside.self);
-    if (letter)
-      loans->hear(now, *letter);
+    auto message = inside.wire->decode(parcel.bytes, parcel.from, inside.self);
+    if (message)
+      loans->receive(now, *message);
     else
       core.wrong(members::Wrong::undecodable);
   }
   loans->tick(now);
-  auto letters = loans->out();
-  if (!letters.empty())
+  auto messages = loans->takeOutgoing();
+  if (!messages.empty())
     tell(inside, now);
-  for (auto& letter : letters)
-    inside.waiting.emplace_back(inside.told, std::move(letter));
+  for (auto& message : messages)
+    inside.waiting.emplace_back(inside.told, std::move(message));
   uint64_t heeded = heeded_.load(std::memory_order_acquire);
   std::erase_if(inside.waiting, [&](auto& one) {
-    auto& [number, letter] = one;
-    if (letter.kind != shared::Letter::Kind::ask && number > heeded)
+    auto& [number, message] = one;
+    if (message.kind != shared::LeaseMessage::Kind::request && number > heeded)
       return false;
-    core.post(letter.to, inside.wire->write(letter));
+    core.post(message.to, inside.wire->encode(message));
     return true;
   });
 }
@@ -163,12 +163,12 @@
       }
       if (!happened.empty() || now >= inside.toldAt + kTellEach)
         tell(inside, now);
-      if (!inside.loans)
+      if (!inside.leases)
         return HUGE_VAL;
       lend(inside, now);
       inside.shell.send();
       // While letters wait for traffic, soon again: it looks every few milliseconds.
-      return inside.waiting.empty() ? inside.loans->wakes() : now + kHeedEach;
+      return inside.waiting.empty() ? inside.leases->nextWakeUp() : now + kHeedEach;
     });
     inside.scheduler.run();
     if (auto fault = inside.shell.fault())
--- a/src/control/control.h
+++ b/src/control/control.h
@@ -9,24 +9,25 @@
 #include <thread>
 #include <vector>
 
-#include "budget/plan.h"
+#include "budget/budget_settings.h"
 #include "members/plan.h"
 #include "members/view.h"
 #include "runtime/latest.h"
 #include "runtime/scheduler.h"
-#include "shared/loans.h"
+#include "shared/lease_manager.h"
 
 namespace elmcleat {
 
 // What control state is to a traffic thread, at one moment.
 struct Told {
   members::View members;
-  std::vector<shared::Usable> usable;  // of the rates that are shared, in the order of budget::fleetRates()
+  std::vector<shared::AvailableQuota>
+      usable;  // of the rates that are shared, in the order of budget::fleetRates()
 };
 
 // Rates of budgets that go to where they are asked for.
 struct Sharing {
-  shared::LoanTerms terms;
+  shared::LeaseSettings terms;
   std::vector<budget::FleetRate> rates;
 };
 
--- a/src/lab/figures.cpp
+++ b/src/lab/figures.cpp
@@ -114,8 +114,8 @@
       continue;
     for (auto& entry :
          scene.budgets->entries)  // of what it was guaranteed and asked for, the part that it got
-      if (entry.name == scene.teams[i].name && entry.terms.guarantee.cores) {
-        double due = std::min(*entry.terms.guarantee.cores * (end - scene.from), teams[i].workAsked);
+      if (entry.name == scene.teams[i].name && entry.settings.guarantee.cores) {
+        double due = std::min(*entry.settings.guarantee.cores * (end - scene.from), teams[i].workAsked);
         figures["kept." + entry.name] = due > 0 ? std::min(1.0, teams[i].work / due) : 1;
       }
   }
--- a/src/lab/lending.cpp
+++ b/src/lab/lending.cpp
@@ -6,86 +6,86 @@
 
 using namespace shared;
 
-Lending::Lending(LoanTerms terms, uint64_t seed, double drift)
-    : terms_(std::move(terms)),
+Lending::Lending(LeaseSettings terms, uint64_t seed, double drift)
+    : settings_(std::move(terms)),
       chance_(seed),
       lives_(seed << 20),
-      hosts_(size_t(terms_.members)),
-      cut_(size_t(terms_.members), std::vector<bool>(size_t(terms_.members))) {
+      hosts_(size_t(settings_.memberCount)),
+      cut_(size_t(settings_.memberCount), std::vector<bool>(size_t(settings_.memberCount))) {
   for (auto& host : hosts_) {
     host.offset = chance_.uniformBetween(-1e6, 1e6), host.speed = 1 + chance_.uniformBetween(-drift, drift);
-    host.wants.resize(terms_.amounts.size());
+    host.wants.resize(settings_.quotas.size());
   }
-  for (int i = 0; i < terms_.members; ++i)
+  for (int i = 0; i < settings_.memberCount; ++i)
     start(i);
 }
 
 void Lending::start(int member) {
   Host& host = hosts_[size_t(member)];
   ++lives_;
-  host.loans = std::make_unique<Loans>(terms_, member, lives_, lives_, clock(host));
+  host.leases = std::make_unique<LeaseManager>(settings_, member, lives_, lives_, clock(host));
   host.paused = false, host.waiting.clear();
   for (size_t i = 0; i < host.wants.size(); ++i)
-    host.loans->want(i, host.wants[i]);
+    host.leases->setDemand(i, host.wants[i]);
   turn(member);
 }
 
 void Lending::kill(int member) {
-  hosts_[size_t(member)].loans.reset(), hosts_[size_t(member)].paused = false,
-                                        ++hosts_[size_t(member)].version;
+  hosts_[size_t(member)].leases.reset(), hosts_[size_t(member)].paused = false,
+                                         ++hosts_[size_t(member)].version;
 }
 
 void Lending::pause(int member, bool is) {
   Host& host = hosts_[size_t(member)];
-  if (!host.loans || host.paused == is)
+  if (!host.leases || host.paused == is)
     return;
   host.paused = is, ++host.version;
   if (is)
     return;
-  for (auto& letter : std::exchange(host.waiting, {}))
-    host.loans->hear(clock(host), letter);
+  for (auto& message : std::exchange(host.waiting, {}))
+    host.leases->receive(clock(host), message);
   turn(member);
 }
 
 void Lending::want(int member, size_t amount, double units) {
   Host& host = hosts_[size_t(member)];
   host.wants[amount] = units;
-  if (host.loans)
-    host.loans->want(amount, units);
+  if (host.leases)
+    host.leases->setDemand(amount, units);
 }
 
 void Lending::part(int from, int to, bool is) {
   auto inside = [&](int one) { return one >= from && one < to; };
-  for (int a = 0; a < terms_.members; ++a)
-    for (int b = 0; b < terms_.members; ++b)
+  for (int a = 0; a < settings_.memberCount; ++a)
+    for (int b = 0; b < settings_.memberCount; ++b)
       if (inside(a) != inside(b))
         cut(a, b, is);
 }
 
 void Lending::turn(int member) {
   Host& host = hosts_[size_t(member)];
-  host.loans->tick(clock(host));
+  host.leases->tick(clock(host));
   check();  // what is granted counts before the letter is on its way
-  for (auto& letter : host.loans->out()) {
+  for (auto& message : host.leases->takeOutgoing()) {
     ++letters_;
     for (int copy = 1 + (chance_.uniform() < copies); copy > 0; --copy) {
       if (chance_.uniform() < loss)
         continue;
       double way = chance_.uniformBetween(least, most) +
                    (chance_.uniform() < lateShare ? late * chance_.uniform() : 0);
-      events_.at(now_ + way, [this, letter] {
-        Host& to = hosts_[size_t(letter.to)];
-        if (cut_[size_t(letter.from)][size_t(letter.to)] || !to.loans)
+      events_.at(now_ + way, [this, message] {
+        Host& to = hosts_[size_t(message.to)];
+        if (cut_[size_t(message.from)][size_t(message.to)] || !to.leases)
           return;
         if (to.paused)
-          return void(to.waiting.size() < 64 ? to.waiting.push_back(letter) : void());
-        to.loans->hear(clock(to), letter);
-        turn(letter.to);
+          return void(to.waiting.size() < 64 ? to.waiting.push_back(message) : void());
+        to.leases->receive(clock(to), message);
+        turn(message.to);
       });
     }
   }
   uint64_t version = ++host.version;
-  double wakes = (host.loans->wakes() - host.offset) / host.speed;
+  double wakes = (host.leases->nextWakeUp() - host.offset) / host.speed;
   events_.at(std::max(wakes, now_ + 1e-4), [this, member, version] {
     if (hosts_[size_t(member)].version == version)
       turn(member);
@@ -94,19 +94,19 @@
 
 double Lending::usable(int member, size_t amount) const {
   const Host& host = hosts_[size_t(member)];
-  return host.loans ? host.loans->usable(amount, clock(host)) : 0;
+  return host.leases ? host.leases->available(amount, clock(host)) : 0;
 }
 
 double Lending::usable(size_t amount) const {
   double all = 0;
-  for (int i = 0; i < terms_.members; ++i)
+  for (int i = 0; i < settings_.memberCount; ++i)
     all += usable(i, amount);
   return all;
 }
 
 double Lending::used(size_t amount) const {
   double all = 0;
-  for (int i = 0; i < terms_.members; ++i)
+  for (int i = 0; i < settings_.memberCount; ++i)
     if (runs(i))
       all += std::min(usable(i, amount), hosts_[size_t(i)].wants[amount]);
   return all;
@@ -115,10 +115,10 @@
 void Lending::check() {
   if (!broken_.empty())
     return;
-  for (size_t i = 0; i < terms_.amounts.size(); ++i)
-    if (double all = usable(i); all > terms_.amounts[i] * (1 + 1e-9))
+  for (size_t i = 0; i < settings_.quotas.size(); ++i)
+    if (double all = usable(i); all > settings_.quotas[i] * (1 + 1e-9))
       broken_ = "at " + std::to_string(now_) + ": " + std::to_string(all) + " of " +
-                std::to_string(terms_.amounts[i]) + " may be used";
+                std::to_string(settings_.quotas[i]) + " may be used";
 }
 
 void Lending::run(double until) {
--- a/src/lab/lending.h
+++ b/src/lab/lending.h
@@ -8,13 +8,13 @@
 
 #include "lab/events.h"
 #include "pcg32.h"
-#include "shared/loans.h"
+#include "shared/lease_manager.h"
 
 namespace elmcleat::lab {
 
 class Lending {
  public:
-  Lending(shared::LoanTerms terms, uint64_t seed, double drift = 1e-3);
+  Lending(shared::LeaseSettings terms, uint64_t seed, double drift = 1e-3);
 
   double least = 0.001, most = 0.005, loss = 0, copies = 0;  // of all letters; seconds, parts
   double lateShare = 0, late = 0;                            // a part of them takes up to so long
@@ -27,7 +27,7 @@
   void part(int from, int to, bool is);  // members from..to-1 from all others, both ways
   void run(double until);
   double now() const { return now_; }
-  bool runs(int member) const { return hosts_[size_t(member)].loans && !hosts_[size_t(member)].paused; }
+  bool runs(int member) const { return hosts_[size_t(member)].leases && !hosts_[size_t(member)].paused; }
 
   double usable(int member, size_t amount) const;  // 0: it does not run
   double usable(size_t amount) const;              // of all together, those included that stand still
@@ -37,18 +37,18 @@
 
  private:
   struct Host {
-    std::unique_ptr<shared::Loans> loans;
+    std::unique_ptr<shared::LeaseManager> leases;
     double offset = 0, speed = 1;
     bool paused = false;
     uint64_t version = 0;
-    std::vector<shared::Letter> waiting;
+    std::vector<shared::LeaseMessage> waiting;
     std::vector<double> wants;
   };
   double clock(const Host& host) const { return host.offset + host.speed * now_; }
   void turn(int member);
   void check();
 
-  shared::LoanTerms terms_;
+  shared::LeaseSettings settings_;
   Pcg32 chance_;
   Events events_;
   double now_ = 0;
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -87,20 +87,20 @@
     scene.troubles.push_back(readTrouble(row));
   if (file.has("budgets")) {
     scene.budgets = readBudgets(file.part("budgets")), scene.budgetsText = document["budgets"];
-    for (auto& fault : budget::faultsOf(*scene.budgets))
-      faults.push_back(path + ": budgets." + fault.key + ": " + fault.why);
+    for (auto& fault : budget::validate(*scene.budgets))
+      faults.push_back(path + ": budgets." + fault.key + ": " + fault.message);
   }
   if (file.has("shared") && scene.budgets) {
     const Section section = file.part("shared");
     auto terms = readShared(section, f.gateways, *scene.budgets);
-    for (auto& flaw : shared::flawsOf(terms))
-      faults.push_back(path + ": shared." + flaw.key + ": " + flaw.why);
+    for (auto& flaw : shared::validate(terms))
+      faults.push_back(path + ": shared." + flaw.key + ": " + flaw.message);
     scene.shared = terms;
   }
   if (file.has("view")) {
     scene.view = readView(file.part("view"));
-    for (auto& flaw : view::flawsOf(*scene.view))
-      faults.push_back(path + ": view." + flaw.key + ": " + flaw.why);
+    for (auto& flaw : view::validate(*scene.view))
+      faults.push_back(path + ": view." + flaw.key + ": " + flaw.message);
   }
   scene.against = file.get("against", scene.against);
   for (auto& row : file.rows("expect")) {
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "budget/plan.h"
+#include "budget/budget_settings.h"
 #include "config/schema.h"
 #include "policy.h"
-#include "shared/loans.h"
-#include "view/plan.h"
+#include "shared/lease_manager.h"
+#include "view/subset_settings.h"
 
 namespace elmcleat::lab {
 
@@ -53,12 +53,12 @@
 struct Trouble {
   std::string kind;  // burst, quiet, slow, silent, failing, lose, roll, drain, reload
   double at = 0, lasts = 0;
-  std::string team;                  // of burst and quiet
-  double times = 1;                  // of burst: traffic; of slow: run times
-  double part = 1;                   // of the engines
-  std::optional<budget::Plan> plan;  // of reload
-  std::string zone = {};             // whose engines alone are meant; empty: all
-  int steps = 1;                     // of a roll: in so many it replaces them
+  std::string team;                            // of burst and quiet
+  double times = 1;                            // of burst: traffic; of slow: run times
+  double part = 1;                             // of the engines
+  std::optional<budget::BudgetSettings> plan;  // of reload
+  std::string zone = {};                       // whose engines alone are meant; empty: all
+  int steps = 1;                               // of a roll: in so many it replaces them
 };
 
 struct Expect {  // a figure by its name, with bounds
@@ -74,12 +74,12 @@
   std::vector<Work> work;  // by profile
   std::vector<Team> teams;
   std::vector<Trouble> troubles;
-  std::optional<budget::Plan> budgets;
-  std::optional<shared::LoanTerms> shared;  // budgets by loans; members and amounts are the fleet's
-  std::optional<view::Plan> view;           // gateways see only these engines
-  Json budgetsText;                         // the same as it stands in the file, for the program
-  double retries = 0;                       // times that a client asks again after a shed, after a second
-  std::vector<std::string> against;         // plain, apart, whole, calm, fifo, random
+  std::optional<budget::BudgetSettings> budgets;
+  std::optional<shared::LeaseSettings> shared;  // budgets by loans; members and amounts are the fleet's
+  std::optional<view::SubsetSettings> view;     // gateways see only these engines
+  Json budgetsText;                             // the same as it stands in the file, for the program
+  double retries = 0;                           // times that a client asks again after a shed, after a second
+  std::vector<std::string> against;             // plain, apart, whole, calm, fifo, random
   std::vector<Expect> expect;
 };
 
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -7,12 +7,12 @@
 #include <numbers>
 #include <unordered_map>
 
-#include "budget/office.h"
+#include "budget/tree_scheduler.h"
 #include "lab/baseline.h"
 #include "lab/engine.h"
 #include "lab/events.h"
 #include "pcg32.h"
-#include "view/view.h"
+#include "view/engine_subset.h"
 
 namespace elmcleat::lab {
 namespace {
@@ -71,21 +71,23 @@
       if (world.scene_.view)
         settings.ordinal = int(number);  // with the view and without it
       if (world.scene_.view && variant.view && variant.deciding == Deciding::module)
-        view = std::make_unique<view::View>(*world.scene_.view, settings), settings = view->local();
+        view = std::make_unique<view::EngineSubset>(*world.scene_.view, settings),
+        settings = view->localSettings();
       if (variant.deciding == Deciding::module) {
         if (world.scene_.budgets && variant.budgets) {
-          office = std::make_unique<budget::Office>(*world.scene_.budgets, world.scene_.fleet.gateways);
+          scheduler =
+              std::make_unique<budget::TreeScheduler>(*world.scene_.budgets, world.scene_.fleet.gateways);
           if (world.scene_.shared && variant.sharing)
             lend();
-          office->onWait([this](Command& command, budget::Estimate told, double seen) {
+          scheduler->onWaitMeasured([this](Command& command, budget::WaitEstimate told, double seen) {
             auto known = numbers.find(&command);
             if (known == numbers.end())
               return;
             world.record_.waits.push_back(
-                {world.record_.asked[known->second].at, told.half, told.nine, seen, known->second});
+                {world.record_.asked[known->second].at, told.median, told.p90, seen, known->second});
           });
         }
-        policy = createPolicy(settings, seed, *this, office.get());
+        policy = createPolicy(settings, seed, *this, scheduler.get());
       } else {
         policy = std::make_unique<Baseline>(settings, seed, *this, variant.deciding == Deciding::random);
       }
@@ -110,10 +112,10 @@
     }
     void ejectionChanged(uint32_t node, bool is) override {
       if (view)
-        view->rests(node, is), watch();  // the module is told in a turn of its own
+        view->setEjected(node, is), watch();  // the module is told in a turn of its own
     }
     void watch() {
-      double at = std::max(view->wakes(), world.now_);
+      double at = std::max(view->nextWakeUp(), world.now_);
       if (at == HUGE_VAL || (watchAt >= 0 && watchAt <= at))
         return;
       world.events_.at(watchAt = at, [this, at] {
@@ -131,34 +133,34 @@
 
     // Loans between gateways: a look ten times a second, letters with the fleet's delay.
     void lend() {
-      loans = std::make_unique<shared::Loans>(*world.scene_.shared, int(number), world.seed_ + 1,
-                                              world.seed_ * 77 + number, world.now_);
+      leases = std::make_unique<shared::LeaseManager>(*world.scene_.shared, int(number), world.seed_ + 1,
+                                                      world.seed_ * 77 + number, world.now_);
       look();
     }
     void look() {
-      office->advanceTo(world.now_);
-      office->share(usable());
-      auto wants = office->wants();
+      scheduler->advanceTo(world.now_);
+      scheduler->setQuotas(usable());
+      auto wants = scheduler->demand();
       for (size_t i = 0; i < wants.size(); ++i)
-        loans->want(i, wants[i]);
-      loans->tick(world.now_);
+        leases->setDemand(i, wants[i]);
+      leases->tick(world.now_);
       post();
-      world.events_.at(std::max(loans->wakes(), world.now_ + 0.001), [this] { look(); });
+      world.events_.at(std::max(leases->nextWakeUp(), world.now_ + 0.001), [this] { look(); });
     }
     void post() {
-      office->share(usable());  // before a letter that rests on it is on its way
-      for (auto& letter : loans->out())
-        world.events_.at(world.now_ + world.scene_.fleet.delay, [this, letter] {
-          Gate& to = *world.gates_[size_t(letter.to)];
-          to.loans->hear(world.now_, letter);
-          to.office->advanceTo(world.now_);
+      scheduler->setQuotas(usable());  // before a letter that rests on it is on its way
+      for (auto& message : leases->takeOutgoing())
+        world.events_.at(world.now_ + world.scene_.fleet.delay, [this, message] {
+          Gate& to = *world.gates_[size_t(message.to)];
+          to.leases->receive(world.now_, message);
+          to.scheduler->advanceTo(world.now_);
           to.post();
         });
     }
-    std::vector<shared::Usable> usable() {
-      std::vector<shared::Usable> all;
-      for (size_t i = 0; i < world.scene_.shared->amounts.size(); ++i)
-        all.push_back(loans->parts(i, world.now_));
+    std::vector<shared::AvailableQuota> usable() {
+      std::vector<shared::AvailableQuota> all;
+      for (size_t i = 0; i < world.scene_.shared->quotas.size(); ++i)
+        all.push_back(leases->availableQuota(i, world.now_));
       return all;
     }
 
@@ -266,9 +268,9 @@
     World& world;
     uint32_t number;
     double wakeAt = -1, watchAt = -1;
-    std::unique_ptr<view::View> view;
-    std::unique_ptr<budget::Office> office;
-    std::unique_ptr<shared::Loans> loans;
+    std::unique_ptr<view::EngineSubset> view;
+    std::unique_ptr<budget::TreeScheduler> scheduler;
+    std::unique_ptr<shared::LeaseManager> leases;
     std::unique_ptr<Policy> policy;
     std::unordered_map<uint64_t, std::shared_ptr<Command>> commands;
     std::unordered_map<const Command*, uint64_t> numbers, byCommand;
@@ -291,8 +293,8 @@
   void sample() {
     double held = 0, busy = 0, cores = 0;
     for (auto& gate : gates_)
-      if (gate->office)
-        held += double(gate->office->tree().root().held);
+      if (gate->scheduler)
+        held += double(gate->scheduler->tree().root().queued);
       else
         held += double(gate->commands.size() - std::min(gate->commands.size(), gate->out.size()));
     for (auto& engine : engines_) {
@@ -536,8 +538,8 @@
       wakeMachine(node);
     }
     for (auto& gate : gates_) {
-      if (trouble.kind == "reload" && gate->office && trouble.plan)
-        gate->tell([&] { gate->office->change(*trouble.plan); });
+      if (trouble.kind == "reload" && gate->scheduler && trouble.plan)
+        gate->tell([&] { gate->scheduler->reconfigure(*trouble.plan); });
     }
   }
   void end(const Trouble& trouble) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -16,7 +16,7 @@
 #include "serve/discovery.h"
 #include "serve/dispatcher.h"
 #include "serve/listener.h"
-#include "view/view.h"
+#include "view/engine_subset.h"
 
 namespace elmcleat {
 namespace {
@@ -91,15 +91,15 @@
 }
 
 // All of a fleet must reckon with the same number of dispatchers, or an engine's users differ.
-std::unique_ptr<view::View> viewOf(const GatewayConfig& own, const Settings& settings) {
+std::unique_ptr<view::EngineSubset> viewOf(const GatewayConfig& own, const Settings& settings) {
   if (!own.view)
     return nullptr;
   if (own.members && int(own.members->peers.size()) != settings.gatewayCount)
-    throw view::Error(view::Wrong::countsDiffer,
+    throw view::Error(view::ErrorKind::dispatcherCountsDiffer,
                       "settings.balancers is " + std::to_string(settings.gatewayCount) +
                           ", members.peers lists " + std::to_string(own.members->peers.size()),
                       "settings.balancers");
-  return std::make_unique<view::View>(*own.view, settings);
+  return std::make_unique<view::EngineSubset>(*own.view, settings);
 }
 
 void serve(const Options& options) {
@@ -118,7 +118,7 @@
   auto seen = viewOf(own, config.settings);
   std::optional<Settings> local;
   if (seen)
-    local = seen->local();
+    local = seen->localSettings();
   Clock clock;
   Scheduler scheduler(clock);
   std::unique_ptr<Control> control;
--- a/src/members/fault.cpp
+++ b/src/members/fault.cpp
@@ -31,14 +31,15 @@
 
 }  // namespace
 
-const char* nameOf(Wrong wrong) { return kTold[static_cast<size_t>(wrong)].name; }
-const char* remedyOf(Wrong wrong) { return kTold[static_cast<size_t>(wrong)].remedy; }
+const char* nameOf(Wrong errorKind) { return kTold[static_cast<size_t>(errorKind)].name; }
+const char* remedyOf(Wrong errorKind) { return kTold[static_cast<size_t>(errorKind)].remedy; }
 
-std::string lineOf(Wrong wrong, const std::string& what, const std::string& subject) {
-  return "members: " + std::string(nameOf(wrong)) + ": " + subject + ": " + what + "; " + remedyOf(wrong);
+std::string lineOf(Wrong errorKind, const std::string& what, const std::string& subject) {
+  return "members: " + std::string(nameOf(errorKind)) + ": " + subject + ": " + what + "; " +
+         remedyOf(errorKind);
 }
 
-Fault::Fault(Wrong kind, const std::string& what, const std::string& whom)
-    : std::runtime_error(lineOf(kind, what, whom)), wrong(kind), subject(whom) {}
+Fault::Fault(Wrong errorKind, const std::string& what, const std::string& whom)
+    : std::runtime_error(lineOf(errorKind, what, whom)), wrong(errorKind), subject(whom) {}
 
 }  // namespace elmcleat::members
--- a/src/members/fault.h
+++ b/src/members/fault.h
@@ -26,17 +26,17 @@
 constexpr size_t kWrongs = static_cast<size_t>(Wrong::controlEnded) + 1;
 
 // The name under which docs/on-call.md lists it; and what an operator can do.
-const char* nameOf(Wrong wrong);
-const char* remedyOf(Wrong wrong);
+const char* nameOf(Wrong errorKind);
+const char* remedyOf(Wrong errorKind);
 
 struct Fault : std::runtime_error {
-  Fault(Wrong kind, const std::string& what, const std::string& whom);
+  Fault(Wrong errorKind, const std::string& what, const std::string& whom);
   Wrong wrong;
   std::string subject;  // to what it happened
 };
 
 // One line: what happened, to what, what can be done.
-std::string lineOf(Wrong wrong, const std::string& what, const std::string& subject);
+std::string lineOf(Wrong errorKind, const std::string& what, const std::string& subject);
 
 using Counts = std::array<uint64_t, kWrongs>;
 
--- a/src/members/plan.cpp
+++ b/src/members/plan.cpp
@@ -5,28 +5,28 @@
 namespace elmcleat::members {
 
 std::vector<Flaw> flawsOf(const Plan& plan) {
-  std::vector<Flaw> flaws;
+  std::vector<Flaw> errors;
   std::map<std::string, size_t> names, places;
   for (size_t i = 0; i < plan.peers.size(); ++i) {
     auto& [name, at] = plan.peers[i];
     std::string key = "peers[" + std::to_string(i) + "]";
     if (auto [known, fresh] = names.emplace(name, i); !fresh)
-      flaws.push_back({key + ".name", "'" + name + "' is there already, as peers[" +
-                                          std::to_string(known->second) + "]; each name is one process"});
+      errors.push_back({key + ".name", "'" + name + "' is there already, as peers[" +
+                                           std::to_string(known->second) + "]; each name is one process"});
     if (at.port == 0)
       continue;  // told already, as no address
     if (auto [known, fresh] = places.emplace(textOf(at), i); !fresh)
-      flaws.push_back({key + ".at", textOf(at) + " is that of peers[" + std::to_string(known->second) +
-                                        "]; each process needs an address of its own"});
+      errors.push_back({key + ".at", textOf(at) + " is that of peers[" + std::to_string(known->second) +
+                                         "]; each process needs an address of its own"});
   }
   if (plan.suspectMost < plan.suspectLeast)
-    flaws.push_back({"suspectMostS", "is " + std::to_string(plan.suspectMost) + ", below suspectLeastS of " +
-                                         std::to_string(plan.suspectLeast)});
+    errors.push_back({"suspectMostS", "is " + std::to_string(plan.suspectMost) + ", below suspectLeastS of " +
+                                          std::to_string(plan.suspectLeast)});
   if (plan.suspectLeast < plan.period)
-    flaws.push_back({"suspectLeastS", "is " + std::to_string(plan.suspectLeast) + ", below periodS of " +
-                                          std::to_string(plan.period) +
-                                          ": nobody could speak up in that time"});
-  return flaws;
+    errors.push_back({"suspectLeastS", "is " + std::to_string(plan.suspectLeast) + ", below periodS of " +
+                                           std::to_string(plan.period) +
+                                           ": nobody could speak up in that time"});
+  return errors;
 }
 
 }  // namespace elmcleat::members
--- a/src/serve/discovery.cpp
+++ b/src/serve/discovery.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 Discovery::Discovery(Scheduler& scheduler, const Config& config, Dispatcher& dispatcher,
-                     std::unique_ptr<view::View> view)
+                     std::unique_ptr<view::EngineSubset> view)
     : scheduler_(scheduler),
       config_(config),
       dispatcher_(dispatcher),
@@ -139,17 +139,17 @@
 
 // What is out of view costs no line, actor, timer or row of the module.
 void Discovery::applySubsetChanges(const std::vector<Listing>& changes, const char* why) {
-  if (double at = subset_->wakes(); at < HUGE_VAL)
+  if (double at = subset_->nextWakeUp(); at < HUGE_VAL)
     subsetTimer_.set(scheduler_.clock().fromUnix(int64_t(at * 1e3) + 1));
   else
     subsetTimer_.clear();
-  for (auto& line : subset_->lines())
+  for (auto& line : subset_->takeWarnings())
     warn() << line;
   if (changes.empty())
     return;
-  auto figures = subset_->figures();
+  auto figures = subset_->statistics();
   info() << "view: " << changes.size() << " engines change by " << why << ", event " << last_ << ": "
-         << figures.used << " of " << figures.listed << " in use, reach " << figures.reach;
+         << figures.inUse << " of " << figures.listed << " in use, reach " << figures.depth;
   updateEngines(changes, false);
 }
 
@@ -217,7 +217,7 @@
   if (!subset_)
     return;
   mailbox_.post([this, node, is] {
-    subset_->rests(node, is);
+    subset_->setEjected(node, is);
     updateSubset();
   });
 }
--- a/src/serve/discovery.h
+++ b/src/serve/discovery.h
@@ -9,7 +9,7 @@
 #include "runtime/stream.h"
 #include "serve/dispatcher.h"
 #include "serve/engine.h"
-#include "view/view.h"
+#include "view/engine_subset.h"
 
 namespace elmcleat {
 
@@ -17,7 +17,7 @@
  public:
   // With a view, only the engines in it are used; without one all are.
   Discovery(Scheduler& scheduler, const Config& config, Dispatcher& dispatcher,
-            std::unique_ptr<view::View> view = nullptr);
+            std::unique_ptr<view::EngineSubset> view = nullptr);
   void start(const std::vector<ListEvent>& known);  // then the change log is followed
   // Who can do without a descriptor when the system has none for the change log, or for an engine.
   void setEvictor(std::function<bool()> evict) { connectionQuota_.evictOther = std::move(evict); }
@@ -51,7 +51,7 @@
   bool moved_ = false;  // the change log has another address since we last connected
   Address changeLog_;
   FrameReader reader_;
-  std::unique_ptr<view::View> subset_;
+  std::unique_ptr<view::EngineSubset> subset_;
   Timer subsetTimer_;                // when the view may change by itself
   uint64_t last_ = 0;                // number of the last event that is known
   size_t connectionsPerEngine_ = 1;  // connections that one engine should do with
--- a/src/serve/dispatcher.cpp
+++ b/src/serve/dispatcher.cpp
@@ -9,15 +9,16 @@
 namespace elmcleat {
 
 Dispatcher::Dispatcher(Scheduler& scheduler, const Settings& settings, uint64_t seed,
-                       const std::optional<budget::Plan>& plan, const std::optional<Settings>& local)
+                       const std::optional<budget::BudgetSettings>& plan,
+                       const std::optional<Settings>& local)
     : scheduler_(scheduler),
       signal_(scheduler),
       mailbox_(signal_),
       wake_(scheduler, [this] { signal_.raise(); }),
-      budgets_(plan ? std::make_unique<budget::Office>(*plan, settings.gatewayCount) : nullptr),
+      budgets_(plan ? std::make_unique<budget::TreeScheduler>(*plan, settings.gatewayCount) : nullptr),
       policy_(createPolicy(local.value_or(settings), seed, *this, budgets_.get())) {
   if (plan)
-    actorHeader_ = lower(plan->actor);
+    actorHeader_ = lower(plan->actorHeader);
 }
 
 void Dispatcher::start(EngineRouter& engines) {
@@ -92,25 +93,25 @@
 }
 
 // Budgets may change, not come and go: what is held stands in one order or the other.
-void Dispatcher::updateBudgets(const std::optional<budget::Plan>& plan) {
+void Dispatcher::updateBudgets(const std::optional<budget::BudgetSettings>& plan) {
   if (plan.has_value() != (budgets_ != nullptr)) {
     warn() << "budgets: the old ones stay: they can't be switched on or off without a restart";
-  } else if (plan && budgets_->shares() &&
-             budget::fleetRates(*plan) != budget::fleetRates(budgets_->tree().plan())) {
+  } else if (plan && budgets_->hasSharedQuotas() &&
+             budget::fleetRates(*plan) != budget::fleetRates(budgets_->tree().settings())) {
     warn() << "budgets: the old ones stay: rates that are shared change at a start alone";
   } else if (plan) {
     mailbox_.post([this, plan = *plan] {
-      budgets_->change(plan), actorHeader_ = lower(plan.actor);
+      budgets_->reconfigure(plan), actorHeader_ = lower(plan.actorHeader);
       info() << "budgets: changed, " << plan.entries.size() << " nodes";
     });
   }
 }
 
-void Dispatcher::updateQuotas(std::vector<shared::Usable> usable,
+void Dispatcher::updateQuotas(std::vector<shared::AvailableQuota> usable,
                               std::function<void(std::vector<double>)> heeded) {
   mailbox_.post([this, usable = std::move(usable), heeded = std::move(heeded)]() mutable {
-    budgets_->share(std::move(usable));
-    heeded(budgets_->wants());
+    budgets_->setQuotas(std::move(usable));
+    heeded(budgets_->demand());
   });
 }
 
@@ -171,8 +172,8 @@
 }
 
 void Dispatcher::shed(Command& command, double retryAfter) {
-  if (budgets_ && budgets_->tree().plan().tellWaits)  // what it would be told if it came again now
-    retryAfter = std::max(retryAfter, budgets_->again(command).nine);
+  if (budgets_ && budgets_->tree().settings().adviseRetryAfter)  // what it would be told if it came again now
+    retryAfter = std::max(retryAfter, budgets_->estimateNow(command).p90);
   respond(*contextOf(command), {Response::Kind::shed, {}, retryAfter});
 }
 
--- a/src/serve/dispatcher.h
+++ b/src/serve/dispatcher.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "budget/office.h"
+#include "budget/tree_scheduler.h"
 #include "policy.h"
 #include "runtime/mailbox.h"
 #include "serve/request_context.h"
@@ -36,7 +36,8 @@
   // With a plan, budgets stand over the module's turns; without one it decides alone. `local`: what the module is told
   // of its part of the fleet, where it sees a part alone; budgets are divided by all gateways in any case.
   Dispatcher(Scheduler& scheduler, const Settings& settings, uint64_t seed,
-             const std::optional<budget::Plan>& plan = {}, const std::optional<Settings>& local = {});
+             const std::optional<budget::BudgetSettings>& plan = {},
+             const std::optional<Settings>& local = {});
   void start(EngineRouter& engines);
 
   // From a front door. False: a command with this id is in hand.
@@ -57,10 +58,11 @@
   // The header, in lower case, that names users below the tenant; empty: none.
   const std::string& actorHeader() const { return actorHeader_; }
   // Budgets read again, with commands in hand.
-  void updateBudgets(const std::optional<budget::Plan>& plan);
+  void updateBudgets(const std::optional<budget::BudgetSettings>& plan);
 
-  // Rates of budgets that are shared with other gateways: what may be used here, and what there is use for (budget::Office).
-  void updateQuotas(std::vector<shared::Usable> usable, std::function<void(std::vector<double>)> heeded);
+  // Rates of budgets that are shared with other gateways: what may be used here, and what there is use for (budget::TreeScheduler).
+  void updateQuotas(std::vector<shared::AvailableQuota> usable,
+                    std::function<void(std::vector<double>)> heeded);
 
   // From the list.
   void updateEngines(EngineListKind kind, std::vector<EngineRecord> rows);
@@ -88,7 +90,7 @@
   Mailbox mailbox_;
   Timer wake_;
   EngineRouter* engines_ = nullptr;
-  std::unique_ptr<budget::Office> budgets_;  // before the gateway: it must outlive it
+  std::unique_ptr<budget::TreeScheduler> budgets_;  // before the gateway: it must outlive it
   std::unique_ptr<Policy> policy_;
   std::unordered_map<const Command*, std::shared_ptr<RequestContext>> contexts_;
   std::unordered_map<const Command*, uint32_t> sendsInFlight_;  // where the send is that has no outcome
--- a/src/shared/usable.h
+++ b/src/shared/available_quota.h
@@ -6,10 +6,10 @@
 namespace elmcleat::shared {
 
 // What may be used, as another thread needs it: it holds by itself, however long nobody renews it.
-struct Usable {
+struct AvailableQuota {
   double own = 0;                                   // without an end
   std::vector<std::pair<double, double>> borrowed;  // until when, how much
-  double at(double now) const {
+  double availableAt(double now) const {
     double all = own;
     for (auto& [until, units] : borrowed)
       all += now < until ? units : 0;
--- a/src/shared/wire.h
+++ b/src/shared/lease_codec.h
@@ -6,17 +6,17 @@
 #include <unordered_map>
 #include <vector>
 
-#include "shared/loans.h"
+#include "shared/lease_manager.h"
 
 namespace elmcleat::shared {
 
-class LetterWire {
+class LeaseCodec {
  public:
   // The names of the amounts, in the order of the terms, and what they are in all.
-  LetterWire(std::vector<std::string> names, std::vector<double> amounts);
-  std::string write(const Letter& letter) const;
+  LeaseCodec(std::vector<std::string> names, std::vector<double> amounts);
+  std::string encode(const LeaseMessage& message) const;
   // Lines about amounts that are not known here, or are others here, are left out.
-  std::optional<Letter> read(std::string_view bytes, int from, int to) const;
+  std::optional<LeaseMessage> decode(std::string_view bytes, int from, int to) const;
 
  private:
   std::vector<std::string> names_;
--- a/src/view/view.cpp
+++ b/src/view/engine_subset.cpp
@@ -1,8 +1,8 @@
-#include "view/view.h"
+#include "view/engine_subset.h"
 
 #include <algorithm>
 
-#include "view/rank.h"
+#include "view/rendezvous_rank.h"
 
 namespace elmcleat::view {
 namespace {
@@ -32,27 +32,27 @@
 
 }  // namespace
 
-View::View(const Plan& plan, const Settings& settings)
-    : settings_(settings), base_(std::min(plan.users, settings.gatewayCount)) {
+EngineSubset::EngineSubset(const SubsetSettings& subsetSettings, const Settings& settings)
+    : settings_(settings), base_(std::min(subsetSettings.usersPerEngine, settings.gatewayCount)) {
   if (settings.ordinal < 0)
-    throw Error(Wrong::ordinalMissing,
+    throw Error(ErrorKind::ordinalMissing,
                 "found none; allowed is 0 to " + std::to_string(settings.gatewayCount - 1),
                 "settings.ordinal");
   if (settings.ordinal >= settings.gatewayCount)
-    throw Error(Wrong::ordinalTooLarge,
+    throw Error(ErrorKind::ordinalOutOfRange,
                 "found " + std::to_string(settings.ordinal) + " with settings.balancers " +
                     std::to_string(settings.gatewayCount) + "; allowed is 0 to " +
                     std::to_string(settings.gatewayCount - 1),
                 "settings.ordinal");
   for (auto& profile : settings.profiles) {
     auto zones = sorted(profile.allowedZones), kinds = sorted(profile.allowedKinds);
-    if (std::ranges::none_of(reaches_, [&](auto& reach) { return reach.sameAs(zones, kinds); }))
-      reaches_.emplace_back(plan, settings.gatewayCount, profile.name, zones, kinds);
+    if (std::ranges::none_of(depths_, [&](auto& reach) { return reach.sameAs(zones, kinds); }))
+      depths_.emplace_back(subsetSettings, settings.gatewayCount, profile.name, zones, kinds);
   }
-  told_.resize(reaches_.size());
+  told_.resize(depths_.size());
 }
 
-Settings View::local() const {
+Settings EngineSubset::localSettings() const {
   Settings local = settings_;
   local.gatewayCount = base_, local.ordinal = -1;
   for (auto& tenant : local.tenants)
@@ -61,18 +61,18 @@
 }
 
 // --- the list
-uint16_t View::makeOf(const std::string& zone, const std::string& kind) {
+uint16_t EngineSubset::makeOf(const std::string& zone, const std::string& kind) {
   auto [at, fresh] = makeByName_.try_emplace(zone + '\n' + kind, uint16_t(makes_.size()));
   if (fresh) {
-    Make& make = makes_.emplace_back(Make{zone, kind, {}, 0});
-    for (size_t i = 0; i < reaches_.size(); ++i)
-      if (reaches_[i].serves(zone, kind))
+    EngineType& make = makes_.emplace_back(EngineType{zone, kind, {}, 0});
+    for (size_t i = 0; i < depths_.size(); ++i)
+      if (depths_[i].serves(zone, kind))
         make.classes.push_back(i);
   }
   return at->second;
 }
 
-View::Entry View::entryOf(const Listing& listing, double now) {
+EngineSubset::Entry EngineSubset::entryOf(const Listing& listing, double now) {
   Entry entry;
   entry.id = listing.row.id, entry.host = listing.address.host, entry.port = listing.address.port;
   entry.bornMs = listing.bornMs, entry.cell = listing.row.cell, entry.state = listing.row.state;
@@ -81,76 +81,76 @@
   return entry;
 }
 
-Listing View::listingOf(const Entry& entry) const {
+Listing EngineSubset::listingOf(const Entry& entry) const {
   Listing listing;
-  const Make& make = makes_[entry.make];
+  const EngineType& make = makes_[entry.make];
   listing.row.id = entry.id, listing.row.zone = make.zone, listing.row.kind = make.kind;
   listing.row.cell = entry.cell, listing.row.state = entry.state;
   listing.address = {entry.host, entry.port}, listing.bornMs = entry.bornMs;
-  if (entry.place < base_)
-    listing.row.rank = entry.place;
+  if (entry.rank < base_)
+    listing.row.rank = entry.rank;
   return listing;
 }
 
-View::Entry* View::find(uint32_t id) {
+EngineSubset::Entry* EngineSubset::find(uint32_t id) {
   auto at = std::ranges::lower_bound(table_, id, {}, &Entry::id);
   return at != table_.end() && at->id == id ? &*at : nullptr;
 }
 
-void View::list(const Entry& entry, int by) {
+void EngineSubset::list(const Entry& entry, int by) {
   if (entry.state != EngineState::inService)
     return;
-  listed_ += size_t(by), used_ += entry.inView ? size_t(by) : 0;
+  listed_ += size_t(by), used_ += entry.inSubset ? size_t(by) : 0;
   for (size_t which : makes_[entry.make].classes)
-    reaches_[which].list(by);
+    depths_[which].countListed(by);
 }
 
-void View::index(Entry& entry, bool is) {
-  if (!entry.near || entry.indexed == is)
+void EngineSubset::index(Entry& entry, bool is) {
+  if (!entry.ranked || entry.indexed == is)
     return;
   entry.indexed = is;
   auto keep = [is](auto& set, auto key) { is ? void(set.insert(key)) : void(set.erase(key)); };
-  keep(near_, std::pair{entry.place, entry.id});
+  keep(near_, std::pair{entry.rank, entry.id});
   if (entry.state != EngineState::inService)
     return;
   if (entry.cold)
     keep(cold_, std::pair{entry.bornMs, entry.id});
-  if (entry.rests || (entry.cold && entry.place >= base_))
+  if (entry.ejected || (entry.cold && entry.rank >= base_))
     return;
   for (size_t which : makes_[entry.make].classes)
-    entry.cold ? reaches_[which].countCold(is ? 1 : -1) : reaches_[which].count(entry.place, is ? 1 : -1);
+    entry.cold ? depths_[which].countCold(is ? 1 : -1) : depths_[which].countUsable(entry.rank, is ? 1 : -1);
 }
 
-void View::rank(Entry& entry) {
+void EngineSubset::rank(Entry& entry) {
   int cap = makes_[entry.make].cap;
-  if (entry.near || entry.place >= cap)
+  if (entry.ranked || entry.rank >= cap)
     return;
-  entry.place = placeOf(entry.id, settings_.ordinal, settings_.gatewayCount, cap), ++ranked_;
-  entry.near = entry.place < cap;
+  entry.rank = rendezvousRank(entry.id, settings_.ordinal, settings_.gatewayCount, cap), ++ranked_;
+  entry.ranked = entry.rank < cap;
 }
 
-void View::update(Entry& entry, const Listing& listing, double now) {
+void EngineSubset::update(Entry& entry, const Listing& listing, double now) {
   Entry next = entryOf(listing, now);
   bool same = next.host == entry.host && next.port == entry.port && next.bornMs == entry.bornMs;
   if (same && next.make == entry.make && next.cell == entry.cell && next.state == entry.state)
     return;
   index(entry, false), list(entry, -1);
-  next.place = entry.place, next.near = entry.near, next.inView = entry.inView;
-  next.rests = entry.rests && same, next.changed = true;
+  next.rank = entry.rank, next.ranked = entry.ranked, next.inSubset = entry.inSubset;
+  next.ejected = entry.ejected && same, next.changed = true;
   entry = next;
   list(entry, 1), touched_.push_back(entry.id);
 }
 
-void View::remove(Entry& entry, Changes& changes) {
+void EngineSubset::remove(Entry& entry, Changes& changes) {
   index(entry, false), list(entry, -1);
   entry.state = EngineState::removed;
-  if (entry.inView)
+  if (entry.inSubset)
     changes.push_back(listingOf(entry));
 }
 
 // The table moves once an event, as bytes: 1.4 MB at 44,000 engines. A whole list is compared row by row;
 // what is the same costs that comparison and nothing else.
-std::vector<Listing> View::apply(const ListEvent& event, double now) {
+std::vector<Listing> EngineSubset::apply(const ListEvent& event, double now) {
   Changes changes;
   std::vector<Entry> fresh;
   bool gone = false;
@@ -193,13 +193,13 @@
 // A class that lost so many engines that its bound doubles needs the places of the others further out: one walk over
 // all 44,000 entries then. What is kept by place shrinks again when a class has grown: by no less than four times,
 // so that a count that goes up and down over a power of two costs nothing.
-void View::setCaps() {
+void EngineSubset::setCaps() {
   bool raised = false;
   int lowered = settings_.gatewayCount;
-  for (Make& make : makes_) {
+  for (EngineType& make : makes_) {
     int cap = base_;
     for (size_t which : make.classes)
-      cap = std::max(cap, reaches_[which].bound());
+      cap = std::max(cap, depths_[which].maxDepth());
     if (cap <= make.cap && 4 * cap > make.cap)
       continue;
     cap > make.cap ? raised |= make.cap > 0 : lowered = std::min(lowered, cap);
@@ -211,43 +211,44 @@
       beyond.push_back(at->second);
   for (uint32_t id : beyond) {
     Entry& entry = *find(id);
-    index(entry, false), entry.near = false, touched_.push_back(id);
+    index(entry, false), entry.ranked = false, touched_.push_back(id);
   }
   if (!raised)
     return;
   for (Entry& entry : table_)
-    if (!entry.near && entry.place < makes_[entry.make].cap)
+    if (!entry.ranked && entry.rank < makes_[entry.make].cap)
       touched_.push_back(entry.id);
 }
 
-bool View::belongs(const Entry& entry) const {
-  if (entry.place < base_)
-    return true;  // one that isn't `near` has a place beyond all that follows
+bool EngineSubset::belongs(const Entry& entry) const {
+  if (entry.rank < base_)
+    return true;  // one that isn't `ranked` has a place beyond all that follows
   if (entry.state != EngineState::inService)
-    return entry.inView;  // until it has gone
+    return entry.inSubset;  // until it has gone
   return !entry.cold && std::ranges::any_of(makes_[entry.make].classes, [&](size_t which) {
-    return entry.place < (entry.inView && entry.rests ? reaches_[which].keeps() : reaches_[which].now());
+    return entry.rank <
+           (entry.inSubset && entry.ejected ? depths_[which].ejectedDepth() : depths_[which].depth());
   });
 }
 
-void View::tell(Entry& entry, Changes& changes) {
+void EngineSubset::tell(Entry& entry, Changes& changes) {
   bool is = belongs(entry), changed = entry.changed;
   entry.changed = false;
-  if (is ? entry.inView && !changed : !entry.inView)
+  if (is ? entry.inSubset && !changed : !entry.inSubset)
     return;
   if (entry.state == EngineState::inService)
-    used_ += size_t(int(is) - int(entry.inView));
-  entry.inView = is;
+    used_ += size_t(int(is) - int(entry.inSubset));
+  entry.inSubset = is;
   Listing& told = changes.emplace_back(listingOf(entry));
   if (is)
     return;
   told.row.state = EngineState::removed;
   // Nobody looks at it any more. No class is short of engines as far out as that: none comes to count on it.
-  if (entry.rests)
-    index(entry, false), entry.rests = false, index(entry, true);
+  if (entry.ejected)
+    index(entry, false), entry.ejected = false, index(entry, true);
 }
 
-void View::settle(double now, Changes& changes) {
+void EngineSubset::settle(double now, Changes& changes) {
   now_ = now, due_ = false;
   setCaps();
   for (uint32_t id : touched_)
@@ -258,17 +259,17 @@
     index(entry, false), entry.cold = false, index(entry, true);
     touched_.push_back(entry.id);
   }
-  for (Reach& reach : reaches_) {
-    int from = reach.now(), to = reach.keeps();
-    reach.settle(now);
-    if (from == reach.now() && to == reach.keeps())
+  for (SubsetDepth& reach : depths_) {
+    int from = reach.depth(), to = reach.ejectedDepth();
+    reach.update(now);
+    if (from == reach.depth() && to == reach.ejectedDepth())
       continue;
-    from = std::min(from, reach.now()), to = std::max(to, reach.now());
+    from = std::min(from, reach.depth()), to = std::max(to, reach.depth());
     for (auto at = near_.lower_bound({from, 0}); at != near_.end() && at->first < to; ++at)
       touched_.push_back(at->second);
   }
-  for (size_t i = 0; i < reaches_.size(); ++i)
-    if (reaches_[i].served())
+  for (size_t i = 0; i < depths_.size(); ++i)
+    if (depths_[i].isServed())
       told_[i] = false;
   std::ranges::sort(touched_);
   touched_.erase(std::unique(touched_.begin(), touched_.end()), touched_.end());
@@ -280,35 +281,35 @@
     touched_.shrink_to_fit();  // a whole list came
 }
 
-void View::rests(uint32_t engine, bool is) {
+void EngineSubset::setEjected(uint32_t engine, bool is) {
   Entry* entry = find(engine);
-  if (!entry || !entry->inView || entry->rests == is)
+  if (!entry || !entry->inSubset || entry->ejected == is)
     return;
-  index(*entry, false), entry->rests = is, index(*entry, true);
+  index(*entry, false), entry->ejected = is, index(*entry, true);
   due_ = true;
 }
 
-std::vector<Listing> View::tick(double now) {
+std::vector<Listing> EngineSubset::tick(double now) {
   Changes changes;
   settle(now, changes);
   return changes;
 }
 
-double View::wakes() const {
+double EngineSubset::nextWakeUp() const {
   if (due_)
     return now_;
   double at = cold_.empty() ? HUGE_VAL : warmAt(cold_.begin()->first);
-  for (auto& reach : reaches_)
-    at = std::min(at, reach.wakes());
+  for (auto& reach : depths_)
+    at = std::min(at, reach.nextWakeUp());
   return at;
 }
 
 // --- what is said
-std::vector<std::string> View::lines() {
+std::vector<std::string> EngineSubset::takeWarnings() {
   std::vector<std::string> lines;
-  for (size_t i = 0; i < reaches_.size(); ++i) {
-    Reach& reach = reaches_[i];
-    if (reach.listed() == 0 || reach.served() || told_[i])
+  for (size_t i = 0; i < depths_.size(); ++i) {
+    SubsetDepth& reach = depths_[i];
+    if (reach.listed() == 0 || reach.isServed() || told_[i])
       continue;
     told_[i] = true;
     int rest = 0, cold = 0;
@@ -317,23 +318,23 @@
       auto& classes = makes_[entry.make].classes;
       if (entry.state != EngineState::inService || std::ranges::find(classes, i) == classes.end())
         continue;
-      rest += entry.rests, cold += entry.cold && !entry.inView;
+      rest += entry.ejected, cold += entry.cold && !entry.inSubset;
     }
-    lines.push_back(lineOf(
-        Wrong::noEngine,
+    lines.push_back(describe(
+        ErrorKind::noEngineInSubset,
         "none of its " + std::to_string(reach.listed()) + " engines can be used: " + std::to_string(rest) +
             " in view rest, " + std::to_string(cold) +
             " start and are other dispatchers' to warm; looked as far as place " +
-            std::to_string(reach.bound()) + " of " + std::to_string(settings_.gatewayCount),
+            std::to_string(reach.maxDepth()) + " of " + std::to_string(settings_.gatewayCount),
         "class " + reach.name()));
   }
   return lines;
 }
 
-Figures View::figures() const {
-  Figures figures{listed_, used_, base_, ranked_, near_.size()};
-  for (auto& reach : reaches_)
-    figures.reach = std::max(figures.reach, reach.now());
+SubsetStatistics EngineSubset::statistics() const {
+  SubsetStatistics figures{listed_, used_, base_, ranked_, near_.size()};
+  for (auto& reach : depths_)
+    figures.depth = std::max(figures.depth, reach.depth());
   return figures;
 }
 
--- a/src/view/reach.h
+++ b/src/view/subset_depth.h
@@ -11,15 +11,15 @@
 #include <string>
 #include <vector>
 
-#include "view/plan.h"
+#include "view/subset_settings.h"
 
 namespace elmcleat::view {
 
-class Reach {
+class SubsetDepth {
  public:
   // `dispatchers`: all there are. Empty zones or kinds: any.
-  Reach(const Plan& plan, int dispatchers, std::string name, std::vector<std::string> zones,
-        std::vector<std::string> kinds);
+  SubsetDepth(const SubsetSettings& settings, int dispatchers, std::string name,
+              std::vector<std::string> zones, std::vector<std::string> kinds);
 
   const std::string& name() const { return name_; }
   bool serves(const std::string& zone, const std::string& kind) const;
@@ -27,28 +27,28 @@
     return zones_ == zones && kinds_ == kinds;
   }
 
-  void list(int by) { listed_ += by; }           // engines in service come (1) or go (-1), wherever they are;
-  void count(int place, int by);                 // those that are usable, by place;
+  void countListed(int by) { listed_ += by; }    // engines in service come (1) or go (-1), wherever they are;
+  void countUsable(int place, int by);           // those that are usable, by place;
   void countCold(int by) { coldInView_ += by; }  // those that are cold and in the base view
   int listed() const { return listed_; }
 
-  int bound() const;  // over which the reach never goes
-  int need() const;   // usable engines that have to be in view, if there are so many
-  int now() const { return reach_; }
+  int maxDepth() const;         // over which the reach never goes
+  int requiredEngines() const;  // usable engines that have to be in view, if there are so many
+  int depth() const { return depth_; }
   // While there is too little, engines in view that were found unfit are kept as far as this.
-  int keeps() const { return keeps_; }
-  void settle(double now);
-  double wakes() const { return narrowsAt_; }  // HUGE_VAL: not by itself
-  bool served() const { return usableInView_ + coldInView_ > 0; }
+  int ejectedDepth() const { return ejectedDepth_; }
+  void update(double now);
+  double nextWakeUp() const { return narrowsAt_; }  // HUGE_VAL: not by itself
+  bool isServed() const { return usableInView_ + coldInView_ > 0; }
 
  private:
-  Plan plan_;
+  SubsetSettings settings_;
   int dispatchers_, base_;
   std::string name_;
   std::vector<std::string> zones_, kinds_;  // sorted
   std::vector<int> usable_;                 // by place, as far as any is known
   int listed_ = 0, coldInView_ = 0, usableInView_ = 0;
-  int reach_, keeps_;
+  int depth_, ejectedDepth_;
   double narrowsAt_ = HUGE_VAL;
 };
 
--- /dev/null
+++ b/src/view/subset_settings.cpp
@@ -0,0 +1,62 @@
+#include "view/subset_settings.h"
+
+#include <array>
+
+namespace elmcleat::view {
+namespace {
+
+struct Told {
+  const char *name, *remedy;
+};
+constexpr std::array<Told, kErrorKinds> kTold = {{
+    {"ordinal-missing",
+     "let the platform set settings.ordinal, another one in each dispatcher; or take the section view out of "
+     "the "
+     "gateway file"},
+    {"ordinal-too-large",
+     "correct settings.ordinal or settings.balancers: ordinals go from 0 to balancers - 1"},
+    {"counts-differ",
+     "let settings.balancers and members.peers name the same dispatchers; until then the settings hold"},
+    {"no-engine-in-view",
+     "look why the engines of this class rest or start; if there are few of them add some, or raise "
+     "view.users"},
+}};
+
+std::string number(double value) {  // without the zeros that std::to_string adds
+  std::string text = std::to_string(value);
+  text.erase(text.find_last_not_of('0') + 1);
+  if (text.back() == '.')
+    text.pop_back();
+  return text;
+}
+
+}  // namespace
+
+std::vector<ValidationError> validate(const SubsetSettings& settings) {
+  std::vector<ValidationError> errors;
+  auto need = [&](bool sound, const char* key, double found, const std::string& allowed) {
+    if (!sound)
+      errors.push_back({key, "found " + number(found) + "; allowed is " + allowed});
+  };
+  need(settings.usersPerEngine >= 1, "users", settings.usersPerEngine, "1 or more");
+  need(settings.maxUsersPerEngine >= settings.usersPerEngine, "mostUsers", settings.maxUsersPerEngine,
+       "users or more, which is " + std::to_string(settings.usersPerEngine));
+  need(settings.minEnginesPerClass >= 1, "least", settings.minEnginesPerClass, "1 or more");
+  need(settings.minUsableShare >= 0 && settings.minUsableShare <= 1, "usablePart", settings.minUsableShare,
+       "0 to 1");
+  need(settings.narrowingDelay > 0, "narrowAfterS", settings.narrowingDelay, "more than 0");
+  return errors;
+}
+
+const char* nameOf(ErrorKind errorKind) { return kTold[static_cast<size_t>(errorKind)].name; }
+const char* remedyOf(ErrorKind errorKind) { return kTold[static_cast<size_t>(errorKind)].remedy; }
+
+std::string describe(ErrorKind errorKind, const std::string& what, const std::string& subject) {
+  return "view: " + std::string(nameOf(errorKind)) + ": " + subject + ": " + what + "; " +
+         remedyOf(errorKind);
+}
+
+Error::Error(ErrorKind errorKind, const std::string& what, const std::string& whom)
+    : std::runtime_error(describe(errorKind, what, whom)), kind(errorKind), subject(whom) {}
+
+}  // namespace elmcleat::view
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -5,7 +5,7 @@
 #include <deque>
 #include <set>
 
-#include "budget/office.h"
+#include "budget/tree_scheduler.h"
 #include "pcg32.h"
 #include "scene.h"
 
@@ -14,40 +14,40 @@
 
 namespace {
 
-Entry entry(const std::string& name, double guarantee, double weight = 1, int priority = 1) {
-  Entry made{name, "", {}};
+NodeEntry entry(const std::string& name, double guarantee, double weight = 1, int priority = 1) {
+  NodeEntry made{name, "", {}};
   if (guarantee > 0)
-    made.terms.guarantee.cores = guarantee;
-  made.terms.weight = weight, made.terms.priority = priority, made.terms.ageAfter = 1e6;
+    made.settings.guarantee.cores = guarantee;
+  made.settings.weight = weight, made.settings.priority = priority, made.settings.agingThreshold = 1e6;
   return made;
 }
-Plan planOf(std::vector<Entry> entries) {
-  Plan plan;
+BudgetSettings planOf(std::vector<NodeEntry> entries) {
+  BudgetSettings plan;
   plan.entries = std::move(entries);
-  plan.otherwise.ageAfter = 1000;
+  plan.defaults.agingThreshold = 1000;
   return plan;
 }
 
 // A stage for the tree: commands of teams, held in numbers, started one after another by a machine of one core.
 struct Stage {
-  explicit Stage(const Plan& plan) : tree(plan, 1) {}
-  Item& come(std::vector<std::string> actor, double work = 0.1) {
-    Item& item = *items.emplace_back(std::make_unique<Item>());
-    item.actor = std::move(actor), item.actor.push_back("report");
+  explicit Stage(const BudgetSettings& plan) : tree(plan, 1) {}
+  QueuedCommand& come(std::vector<std::string> actor, double work = 0.1) {
+    QueuedCommand& item = *items.emplace_back(std::make_unique<QueuedCommand>());
+    item.path = std::move(actor), item.path.push_back("report");
     item.work = work;
-    tree.take(item, now), tree.hold(item, false, now);
+    tree.add(item, now), tree.enqueue(item, false, now);
     return item;
   }
   // Starts what the tree says, and ends it at once after its work; false: nobody may start.
   bool serve(double billed = 0) {
-    Item* item = tree.next(now);
+    QueuedCommand* item = tree.selectNext(now);
     if (!item)
       return false;
-    tree.unhold(*item, now), tree.started(*item, now);
+    tree.dequeue(*item, now), tree.sendStarted(*item, now);
     now += item->work;
-    done[item->actor[0]] += item->work;
+    done[item->path[0]] += item->work;
     order.push_back(item);
-    tree.ended(*item, billed, now), tree.forget(*item, now);
+    tree.sendFinished(*item, billed, now), tree.remove(*item, now);
     return true;
   }
   double part(const std::string& team) {
@@ -57,10 +57,10 @@
     return done[team] / all;
   }
   double now = 0;
-  std::vector<std::unique_ptr<Item>> items;
+  std::vector<std::unique_ptr<QueuedCommand>> items;
   std::map<std::string, double> done;
-  std::vector<Item*> order;
-  Tree tree;
+  std::vector<QueuedCommand*> order;
+  BudgetTree tree;
 };
 
 }  // namespace
@@ -92,7 +92,7 @@
   stage.now = 3600;
   for (int i = 0; i < 20; ++i)
     stage.serve();
-  Item& back = stage.come({"a"});
+  QueuedCommand& back = stage.come({"a"});
   stage.serve();
   CHECK_EQ(stage.order.back(), &back);
   // It has put by no more than its burst, a second of half a core: not an hour of it.
@@ -107,23 +107,23 @@
 }
 
 TEST_CASE("a guarantee holds for a user whose team has none, and within a team by weight") {
-  Plan plan = planOf({entry("team", 0), entry("team/u1", 0.5), entry("other", 0, 4)});
+  BudgetSettings plan = planOf({entry("team", 0), entry("team/u1", 0.5), entry("other", 0, 4)});
   Stage stage(plan);
   for (int i = 0; i < 1000; ++i)
     stage.come({"team", "u1"}), stage.come({"team", "u2"}), stage.come({"other"});
   while (stage.now < 40)
     stage.serve();
   std::map<std::string, double> users;
-  for (Item* item : stage.order)
-    users[item->actor.size() > 2 ? item->actor[1] : "other"] += item->work;
+  for (QueuedCommand* item : stage.order)
+    users[item->path.size() > 2 ? item->path[1] : "other"] += item->work;
   CHECK_GE(users["u1"] / stage.now, 0.5);
   CHECK_EQ(users["other"] / stage.now, doctest::Approx(0.4).epsilon(0.05));  // four fifths of the other half
   CHECK_EQ(users["u2"] / stage.now, doctest::Approx(0.05).epsilon(0.1));
 }
 
 TEST_CASE("a ceiling holds on the whole, also one below a single command's cost") {
-  Entry capped = entry("a", 0);
-  capped.terms.ceiling.cores = 0.01;  // a command of 0.1 s every 10 s
+  NodeEntry capped = entry("a", 0);
+  capped.settings.ceiling.cores = 0.01;  // a command of 0.1 s every 10 s
   Stage stage(planOf({capped}));
   for (int i = 0; i < 10; ++i)
     stage.come({"a"});
@@ -133,37 +133,37 @@
       ++started;
   CHECK_GE(started, 5);
   CHECK_LE(started, 7);
-  CHECK_GT(stage.tree.wakes(stage.now), stage.now);
-  CHECK_LT(stage.tree.wakes(stage.now), stage.now + 10.1);
+  CHECK_GT(stage.tree.nextWakeUp(stage.now), stage.now);
+  CHECK_LT(stage.tree.nextWakeUp(stage.now), stage.now + 10.1);
 
-  Entry none = entry("a", 0);
-  none.terms.ceiling.cores = 0;  // nothing at all, and no spinning
+  NodeEntry none = entry("a", 0);
+  none.settings.ceiling.cores = 0;  // nothing at all, and no spinning
   Stage shut(planOf({none}));
   shut.come({"a"});
   CHECK_FALSE(shut.serve());
-  CHECK_EQ(shut.tree.wakes(0), HUGE_VAL);
+  CHECK_EQ(shut.tree.nextWakeUp(0), HUGE_VAL);
 }
 
 TEST_CASE("ceilings on sends and memory open with an ending") {
-  Entry capped = entry("a", 0);
-  capped.terms.ceiling.sends = 2, capped.terms.ceiling.memoryMb = 100;
-  Tree tree(planOf({capped}), 1);
-  std::deque<Item> items(5);
+  NodeEntry capped = entry("a", 0);
+  capped.settings.ceiling.sends = 2, capped.settings.ceiling.memoryMb = 100;
+  BudgetTree tree(planOf({capped}), 1);
+  std::deque<QueuedCommand> items(5);
   for (auto& item : items) {
-    item.actor = {"a", "report"}, item.work = 1, item.memoryMb = 40;
-    tree.take(item, 0), tree.hold(item, false, 0);
+    item.path = {"a", "report"}, item.work = 1, item.memoryMb = 40;
+    tree.add(item, 0), tree.enqueue(item, false, 0);
   }
   auto start = [&] {
-    Item* item = tree.next(0);
+    QueuedCommand* item = tree.selectNext(0);
     if (item)
-      tree.unhold(*item, 0), tree.started(*item, 0);
+      tree.dequeue(*item, 0), tree.sendStarted(*item, 0);
     return item;
   };
-  Item* first = start();
+  QueuedCommand* first = start();
   REQUIRE(first);
   REQUIRE(start());
   CHECK_FALSE(start());
-  tree.ended(*first, 0, 1);
+  tree.sendFinished(*first, 0, 1);
   CHECK(start());
   CHECK_FALSE(start());
 }
@@ -173,10 +173,10 @@
   bool holds = rc::check("the bound of the lane of the old", [] {
     int seed = *rc::gen::inRange(0, 1 << 20);
     Pcg32 chance(static_cast<uint64_t>(seed));
-    Plan plan = planOf({entry("high", 0, 1, 5), entry("sure", 0.5), entry("low", 0, 1, 0)});
-    plan.agedPart = 0.1 + 0.3 * chance.uniform();
+    BudgetSettings plan = planOf({entry("high", 0, 1, 5), entry("sure", 0.5), entry("low", 0, 1, 0)});
+    plan.agedShare = 0.1 + 0.3 * chance.uniform();
     for (auto& one : plan.entries)
-      one.terms.ageAfter = 2;
+      one.settings.agingThreshold = 2;
     Stage stage(plan);
     // The machine does a second of work a second; twice as much comes, most of it of high priority.
     double comes = 0;
@@ -186,19 +186,20 @@
         double work = chance.uniformBetween(0.02, 0.2);
         double who = chance.uniform();
         auto& item = stage.come({who < 0.7 ? "high" : who < 0.9 ? "sure" : "low"}, work);
-        item.heldAt = comes;  // it came while the one before ran
+        item.queuedSince = comes;  // it came while the one before ran
         comes += work / 2;
       }
       stage.serve();
       for (; seen < stage.order.size(); ++seen) {
-        Item* item = stage.order[seen];
-        double wait = item->startedAt - item->heldAt;
+        QueuedCommand* item = stage.order[seen];
+        double wait = item->startedAt - item->queuedSince;
         // W: the work, of what was older, that had not started when it became old.
         double older = 0;
         for (auto& other : stage.items)
-          if (other->number < item->number && (other->held || other->startedAt > item->heldAt + 2))
+          if (other->arrivalNumber < item->arrivalNumber &&
+              (other->queued || other->startedAt > item->queuedSince + 2))
             older += other->work;
-        double bound = 2 + (older + 0.2) / plan.agedPart + 0.2;
+        double bound = 2 + (older + 0.2) / plan.agedShare + 0.2;
         RC_ASSERT(wait <= bound);
       }
     }
@@ -208,7 +209,7 @@
 }
 
 TEST_CASE("without the lane of the old the lowest priority would starve") {
-  Plan plan = planOf({entry("high", 0, 1, 5), entry("low", 0, 1, 0)});
+  BudgetSettings plan = planOf({entry("high", 0, 1, 5), entry("low", 0, 1, 0)});
   Stage stage(plan);
   stage.come({"low"});
   for (int i = 0; i < 50; ++i)
@@ -224,19 +225,19 @@
     stage.come({"honest"}, 0.1), stage.come({"liar"}, 0.01);
   std::map<std::string, double> real;
   while (stage.now < 200) {
-    Item* item = stage.tree.next(stage.now);
+    QueuedCommand* item = stage.tree.selectNext(stage.now);
     REQUIRE(item);
-    stage.tree.unhold(*item, stage.now), stage.tree.started(*item, stage.now);
-    double cost = item->work * (item->actor[0] == "liar" ? 20 : 1);
-    stage.now += cost, real[item->actor[0]] += cost;
-    stage.tree.ended(*item, cost, stage.now), stage.tree.forget(*item, stage.now);
+    stage.tree.dequeue(*item, stage.now), stage.tree.sendStarted(*item, stage.now);
+    double cost = item->work * (item->path[0] == "liar" ? 20 : 1);
+    stage.now += cost, real[item->path[0]] += cost;
+    stage.tree.sendFinished(*item, cost, stage.now), stage.tree.remove(*item, stage.now);
   }
   CHECK_EQ(real["liar"] / real["honest"], doctest::Approx(1).epsilon(0.1));
 }
 
 TEST_CASE("thousands of users with one command each leave nothing behind") {
-  Plan plan = planOf({entry("team", 0)});
-  plan.maxNodes = 500, plan.idle = 5;
+  BudgetSettings plan = planOf({entry("team", 0)});
+  plan.maxNodes = 500, plan.idleTimeout = 5;
   Stage stage(plan);
   for (int i = 0; i < 20'000; ++i) {
     stage.come({"team", "user" + std::to_string(i)}, 0.001);
@@ -246,7 +247,7 @@
       stage.serve();  // up to hundreds are held, beyond the bound as well
     CHECK_LE(stage.tree.size(), 500 + 4);
   }
-  size_t held = stage.tree.root().held, served = 0;
+  size_t held = stage.tree.root().queued, served = 0;
   while (stage.serve())
     ++served;
   CHECK_EQ(served, held);
@@ -256,29 +257,30 @@
 }
 
 TEST_CASE("budgets change with commands held and out, and rows go from under them") {
-  Plan before = planOf({entry("a", 0.5), entry("b", 0), entry("b/u", 0.2)});
+  BudgetSettings before = planOf({entry("a", 0.5), entry("b", 0), entry("b/u", 0.2)});
   Stage stage(before);
-  std::set<Item*> held;
+  std::set<QueuedCommand*> held;
   for (int i = 0; i < 50; ++i)
     held.insert(&stage.come({"a"})), held.insert(&stage.come({"b", "u"}));
-  Item* out = stage.tree.next(stage.now);
-  stage.tree.unhold(*out, stage.now), stage.tree.started(*out, stage.now), held.erase(out);
-  Entry moved = entry("b", 0.9);
+  QueuedCommand* out = stage.tree.selectNext(stage.now);
+  stage.tree.dequeue(*out, stage.now), stage.tree.sendStarted(*out, stage.now), held.erase(out);
+  NodeEntry moved = entry("b", 0.9);
   moved.parent = "org";
-  stage.tree.change(planOf({entry("org", 0.9), moved}), 1, 0.05);
-  CHECK_EQ(stage.tree.root().held, held.size());
+  stage.tree.reconfigure(planOf({entry("org", 0.9), moved}), 1, 0.05);
+  CHECK_EQ(stage.tree.root().queued, held.size());
   CHECK_EQ(stage.tree.root().sends, 1);
   REQUIRE(stage.tree.find("b"));
   CHECK_EQ(stage.tree.find("b")->parent, stage.tree.find("org"));
-  CHECK_FALSE(stage.tree.find("a")->listed);
-  stage.tree.ended(*out, 0, stage.now), stage.tree.forget(*out, stage.now);
+  CHECK_FALSE(stage.tree.find("a")->configured);
+  stage.tree.sendFinished(*out, 0, stage.now), stage.tree.remove(*out, stage.now);
   stage.now = 0.1;
   std::map<std::string, uint64_t> last;
   for (int i = 0; i < 40; ++i) {
     stage.serve();
-    Item* item = stage.order.back();
+    QueuedCommand* item = stage.order.back();
     CHECK_EQ(held.erase(item), 1);
-    CHECK_GT(item->number, std::exchange(last[item->actor[0]], item->number));  // still first in, first out
+    CHECK_GT(item->arrivalNumber,
+             std::exchange(last[item->path[0]], item->arrivalNumber));  // still first in, first out
   }
   CHECK_GT(stage.done["b"], 3 * stage.done["a"]);  // the new guarantee counts
   while (stage.serve())
@@ -289,73 +291,73 @@
 TEST_CASE("whatever happens, each held command gets its turn once, in its leaf's order") {
   bool holds = rc::check("the tree loses and doubles nothing", [] {
     Pcg32 chance(static_cast<uint64_t>(*rc::gen::inRange(0, 1 << 20)));
-    Plan plan;
+    BudgetSettings plan;
     plan.maxNodes = 16;
     for (int i = 0; i < 6; ++i) {
-      Entry one = entry("t" + std::to_string(i), chance.uniform() < 0.5 ? chance.uniform() : 0,
-                        0.5 + chance.uniform(), int(chance.next() % 4));
+      NodeEntry one = entry("t" + std::to_string(i), chance.uniform() < 0.5 ? chance.uniform() : 0,
+                            0.5 + chance.uniform(), int(chance.next() % 4));
       if (i > 0 && chance.uniform() < 0.3)
         one.parent = "t" + std::to_string(chance.next() % uint32_t(i));
       if (chance.uniform() < 0.3)
-        one.terms.ceiling.cores = one.terms.guarantee.cores.value_or(0) + 0.2;
+        one.settings.ceiling.cores = one.settings.guarantee.cores.value_or(0) + 0.2;
       if (chance.uniform() < 0.3)
-        one.terms.ceiling.sends = 1 + chance.next() % 3;
-      one.terms.ageAfter = chance.uniformBetween(0.1, 3);
+        one.settings.ceiling.sends = 1 + chance.next() % 3;
+      one.settings.agingThreshold = chance.uniformBetween(0.1, 3);
       plan.entries.push_back(one);
     }
-    RC_ASSERT(faultsOf(plan).size() < 20);
-    Tree tree(plan, 1);
-    std::vector<std::unique_ptr<Item>> items;
-    std::vector<Item*> out;
+    RC_ASSERT(validate(plan).size() < 20);
+    BudgetTree tree(plan, 1);
+    std::vector<std::unique_ptr<QueuedCommand>> items;
+    std::vector<QueuedCommand*> out;
     size_t held = 0;
     double now = 0;
     for (int step = 0; step < 400; ++step) {
       now += chance.uniformBetween(0, 0.2);
       if (step % 150 == 149) {  // a change, in the midst of it
-        plan.entries[chance.next() % plan.entries.size()].terms.weight = chance.uniformBetween(0.1, 9);
-        tree.change(plan, 1, now);
+        plan.entries[chance.next() % plan.entries.size()].settings.weight = chance.uniformBetween(0.1, 9);
+        tree.reconfigure(plan, 1, now);
       }
       double what = chance.uniform();
       if (what < 0.45) {
-        Item& item = *items.emplace_back(std::make_unique<Item>());
-        item.actor = {"t" + std::to_string(chance.next() % 9), "u" + std::to_string(chance.next() % 5), "p"};
+        QueuedCommand& item = *items.emplace_back(std::make_unique<QueuedCommand>());
+        item.path = {"t" + std::to_string(chance.next() % 9), "u" + std::to_string(chance.next() % 5), "p"};
         item.work = chance.uniformBetween(0.01, 0.5), item.memoryMb = 10;
-        tree.take(item, now), tree.hold(item, false, now), ++held;
+        tree.add(item, now), tree.enqueue(item, false, now), ++held;
       } else if (what < 0.8) {
-        Item* item = tree.next(now);
+        QueuedCommand* item = tree.selectNext(now);
         if (!item)
           continue;
-        RC_ASSERT(item->held && !item->out);
+        RC_ASSERT(item->queued && !item->running);
         if (chance.uniform() < 0.4) {
-          tree.lost(*item, chance.uniformBetween(0.02, 0.1), now);
+          tree.postpone(*item, chance.uniformBetween(0.02, 0.1), now);
           continue;
         }
-        tree.unhold(*item, now), tree.started(*item, now), --held, out.push_back(item);
+        tree.dequeue(*item, now), tree.sendStarted(*item, now), --held, out.push_back(item);
       } else if (!out.empty()) {
         std::swap(out[chance.next() % out.size()], out.back());
-        Item* item = out.back();
+        QueuedCommand* item = out.back();
         out.pop_back();
-        tree.ended(*item, chance.uniformBetween(0.01, 1), now);
+        tree.sendFinished(*item, chance.uniformBetween(0.01, 1), now);
         if (chance.uniform() < 0.3)
-          tree.hold(*item, true, now), ++held;  // goes again
+          tree.enqueue(*item, true, now), ++held;  // goes again
         else
-          tree.forget(*item, now);
+          tree.remove(*item, now);
       }
-      RC_ASSERT(tree.root().held == held);
+      RC_ASSERT(tree.root().queued == held);
       RC_ASSERT(tree.root().sends == double(out.size()));
       RC_ASSERT(tree.size() <= plan.maxNodes + 2 * plan.entries.size() + 1);
     }
-    for (Item* item : out)
-      tree.ended(*item, 0, now), tree.forget(*item, now);
+    for (QueuedCommand* item : out)
+      tree.sendFinished(*item, 0, now), tree.remove(*item, now);
     for (int step = 0; step < 20'000 && held > 0; ++step) {  // all that may run does, in the end
-      Item* item = tree.next(now);
+      QueuedCommand* item = tree.selectNext(now);
       if (!item) {
-        now = std::max(now + 1e-6, tree.wakes(now));
+        now = std::max(now + 1e-6, tree.nextWakeUp(now));
         RC_ASSERT(now < HUGE_VAL);
         continue;
       }
-      tree.unhold(*item, now), tree.started(*item, now), --held;
-      tree.ended(*item, 0, now), tree.forget(*item, now);
+      tree.dequeue(*item, now), tree.sendStarted(*item, now), --held;
+      tree.sendFinished(*item, 0, now), tree.remove(*item, now);
     }
     RC_ASSERT(held == 0);
   });
@@ -363,46 +365,46 @@
 }
 
 TEST_CASE("what borrows gives way to a guarantee that has waited, the least priority and the latest first") {
-  Plan plan = planOf({entry("sure", 1), entry("x", 0, 1, 2), entry("y", 0, 1, 1)});
-  Tree tree(plan, 1);
-  std::deque<Item> items(4);
+  BudgetSettings plan = planOf({entry("sure", 1), entry("x", 0, 1, 2), entry("y", 0, 1, 1)});
+  BudgetTree tree(plan, 1);
+  std::deque<QueuedCommand> items(4);
   auto come = [&](size_t i, const char* team, double now) {
-    items[i].actor = {team, "report"}, items[i].work = 1;
-    tree.take(items[i], now), tree.hold(items[i], false, now);
+    items[i].path = {team, "report"}, items[i].work = 1;
+    tree.add(items[i], now), tree.enqueue(items[i], false, now);
   };
   come(0, "x", 0), come(1, "y", 0), come(2, "y", 0.1);
   for (double now : {0.0, 0.0, 0.1}) {
-    Item* item = tree.next(now);
-    tree.unhold(*item, now), tree.started(*item, now);
+    QueuedCommand* item = tree.selectNext(now);
+    tree.dequeue(*item, now), tree.sendStarted(*item, now);
   }
   come(3, "sure", 1);
-  REQUIRE_EQ(tree.next(1), &items[3]);
-  tree.lost(items[3], 0.05, 1);
-  CHECK_FALSE(tree.victim(1).item);  // it has not waited for long
-  REQUIRE_EQ(tree.next(1.3), &items[3]);
-  tree.lost(items[3], 0.05, 1.3);
-  CHECK_EQ(tree.victim(1.3).item, &items[2]);
-  CHECK_FALSE(tree.victim(1.31).item);  // not two at once
-  CHECK_EQ(tree.victim(1.4).item, &items[1]);
-  CHECK_EQ(tree.victim(1.5).item, &items[0]);
-  CHECK_FALSE(tree.victim(1.58).item);  // each once
+  REQUIRE_EQ(tree.selectNext(1), &items[3]);
+  tree.postpone(items[3], 0.05, 1);
+  CHECK_FALSE(tree.selectVictim(1).command);  // it has not waited for long
+  REQUIRE_EQ(tree.selectNext(1.3), &items[3]);
+  tree.postpone(items[3], 0.05, 1.3);
+  CHECK_EQ(tree.selectVictim(1.3).command, &items[2]);
+  CHECK_FALSE(tree.selectVictim(1.31).command);  // not two at once
+  CHECK_EQ(tree.selectVictim(1.4).command, &items[1]);
+  CHECK_EQ(tree.selectVictim(1.5).command, &items[0]);
+  CHECK_FALSE(tree.selectVictim(1.58).command);  // each once
   for (size_t i = 0; i < 3; ++i)
-    tree.ended(items[i], 0, 2), tree.forget(items[i], 2);
-  tree.forget(items[3], 2);
+    tree.sendFinished(items[i], 0, 2), tree.remove(items[i], 2);
+  tree.remove(items[3], 2);
 }
 
 TEST_CASE("who borrows leaves places to a guarantee that draws for them, but not for ever") {
   Stage stage(planOf({entry("sure", 1), entry("x", 0)}));
-  Item& sure = stage.come({"sure"});
-  Item& borrows = stage.come({"x"});
+  QueuedCommand& sure = stage.come({"sure"});
+  QueuedCommand& borrows = stage.come({"x"});
   double now = 0;
   int yielded = 0;
   for (; now < 1; now += 0.01) {
-    Item* item = stage.tree.next(now);
+    QueuedCommand* item = stage.tree.selectNext(now);
     if (item == &borrows)
       break;
     if (item == &sure)
-      stage.tree.lost(sure, 0.1, now), ++yielded;
+      stage.tree.postpone(sure, 0.1, now), ++yielded;
   }
   CHECK_GE(yielded, 3);
   CHECK_GE(now, 0.3);  // yieldS
@@ -411,47 +413,47 @@
 
 TEST_CASE("waits: a half and nine in ten hold, and a slowdown shows within two seconds") {
   // A queue of one leaf that goes at a rate; arrivals in bursts. Rates fall to a third at 60 s.
-  Plan plan = planOf({entry("team", 0)});
-  Tree tree(plan, 1);
-  Waits waits;
+  BudgetSettings plan = planOf({entry("team", 0)});
+  BudgetTree tree(plan, 1);
+  WaitEstimator waits;
   Pcg32 chance(11);
   struct Told {
     double at;
-    Estimate estimate;
+    WaitEstimate estimate;
     double wait = -1;
   };
-  std::deque<std::pair<std::unique_ptr<Item>, Told>> all;
+  std::deque<std::pair<std::unique_ptr<QueuedCommand>, Told>> all;
   double now = 0, comes = 0, free = 0, seenAt = -1;
   while (now < 120) {
     double speed = now < 60 ? 3 : 1;
     if (comes <= free) {
       now = comes;
       // The queue is never empty, and swings.
-      double gap = 0.275 / speed * (double(tree.root().held) < 30 + 20 * std::sin(now / 7) ? 0.5 : 1.5);
-      auto& [item, told] = all.emplace_back(std::make_unique<Item>(), Told{now, {}});
-      item->actor = {"team", "report"}, item->work = chance.uniformBetween(0.05, 0.5);
-      tree.take(*item, now);
-      waits.at(now);
-      told.estimate = waits.arrives(*item, now);
-      tree.hold(*item, false, now);
-      if (now > 60 && seenAt < 0 && told.estimate.half > 1.5 * 30 * 0.275 / 3)
+      double gap = 0.275 / speed * (double(tree.root().queued) < 30 + 20 * std::sin(now / 7) ? 0.5 : 1.5);
+      auto& [item, told] = all.emplace_back(std::make_unique<QueuedCommand>(), Told{now, {}});
+      item->path = {"team", "report"}, item->work = chance.uniformBetween(0.05, 0.5);
+      tree.add(*item, now);
+      waits.advanceTo(now);
+      told.estimate = waits.commandArrived(*item, now);
+      tree.enqueue(*item, false, now);
+      if (now > 60 && seenAt < 0 && told.estimate.median > 1.5 * 30 * 0.275 / 3)
         seenAt = now - 60;
       comes = now + gap * chance.uniformBetween(0.5, 1.5);
     } else {
       now = std::max(free, now);
-      waits.at(now);
-      Item* item = tree.next(now);
+      waits.advanceTo(now);
+      QueuedCommand* item = tree.selectNext(now);
       if (!item) {
         free = comes;
         continue;
       }
-      tree.unhold(*item, now);
-      waits.started(*item, now);
+      tree.dequeue(*item, now);
+      waits.commandStarted(*item, now);
       for (auto& [held, told] : all)
         if (held.get() == item)
           told.wait = now - told.at;
-      tree.started(*item, now), free = now + item->work / speed;
-      tree.ended(*item, 0, now);
+      tree.sendStarted(*item, now), free = now + item->work / speed;
+      tree.sendFinished(*item, 0, now);
     }
   }
   auto share = [&](double from, double to, auto told) {
@@ -462,28 +464,29 @@
     CHECK_GT(count, 30);
     return hits / count;
   };
-  auto half = [](const Estimate& estimate) { return estimate.half; };
-  auto nine = [](const Estimate& estimate) { return estimate.nine; };
+  auto half = [](const WaitEstimate& estimate) { return estimate.median; };
+  auto nine = [](const WaitEstimate& estimate) { return estimate.p90; };
   CHECK_EQ(share(10, 110, half), doctest::Approx(0.5).epsilon(0.2));
   CHECK_GE(share(10, 110, nine), 0.86);
   CHECK_GE(share(60, 110, nine), 0.85);
   CHECK_GE(seenAt, 0);
   CHECK_LE(seenAt, 3);
   for (auto& [item, told] : all)
-    tree.forget(*item, now);
+    tree.remove(*item, now);
 }
 
 // --- the module with budgets
 namespace {
 
 struct BudgetScene : Scene {
-  BudgetScene(Settings given, const Plan& plan) : Scene(given), office(plan, given.gatewayCount) {
+  BudgetScene(Settings given, const BudgetSettings& plan)
+      : Scene(given), scheduler(plan, given.gatewayCount) {
     commands.clear(), wakes.clear();
-    policy = createPolicy(settings, 7, *this, &office);
+    policy = createPolicy(settings, 7, *this, &scheduler);
     policy->advanceTo(now);
   }
   ~BudgetScene() { policy.reset(), commands.clear(); }
-  Office office;
+  TreeScheduler scheduler;
 };
 
 Settings patient() {
@@ -503,7 +506,7 @@
     site.tenants = {{"north", 0.1, 0}, {"south", 0.1, 0}};
     for (int i = 0; i < 8; ++i)
       site.tenants.push_back({"s" + std::to_string(i), 0.1, 0});
-    Plan plan = planOf({entry("north", 4)});
+    BudgetSettings plan = planOf({entry("north", 4)});
     std::unique_ptr<Scene> scene;
     if (budgets)
       scene = std::make_unique<BudgetScene>(site, plan);
@@ -546,8 +549,8 @@
 TEST_CASE("the module: under overload what is within its guarantee is shed last") {
   auto site = Scene::site();
   site.tenants = {{"north", 0.5, 0}, {"south", 0.5, 0}};
-  Entry north = entry("north", 8);
-  north.terms.burst = 30;
+  NodeEntry north = entry("north", 8);
+  north.settings.burst = 30;
   BudgetScene scene(site, planOf({north, entry("south", 0)}));
   scene.nodes({1});
   scene.take("waits", "quick", 0.1, "south");
@@ -570,12 +573,12 @@
 }
 
 TEST_CASE("the module: a waiting guarantee lowers what borrows, or cancels it where it may go again") {
-  for (auto how : {Preempt::lower, Preempt::cancel}) {
+  for (auto how : {PreemptionMode::lowerPriority, PreemptionMode::cancel}) {
     auto site = patient();
     site.tenants = {{"north", 0.5, 0}, {"south", 0.5, 0}};
-    site.prioritiesSupported = true, site.cancelSupported = how == Preempt::cancel;
-    Plan plan = planOf({entry("north", 6), entry("south", 0)});
-    plan.preempt = how, plan.preemptAfter = 0.1;
+    site.prioritiesSupported = true, site.cancelSupported = how == PreemptionMode::cancel;
+    BudgetSettings plan = planOf({entry("north", 6), entry("south", 0)});
+    plan.preemptionMode = how, plan.preemptionDelay = 0.1;
     BudgetScene scene(site, plan);
     scene.nodes({1});
     for (int i = 0; i < 40; ++i)
@@ -591,15 +594,15 @@
     }
     std::string told = scene.trace.str();
     CHECK(told.find(" 0, 0 MB") != std::string::npos);  // its priority falls to the last
-    CHECK_EQ(told.find("cancel s") != std::string::npos, how == Preempt::cancel);
+    CHECK_EQ(told.find("cancel s") != std::string::npos, how == PreemptionMode::cancel);
     CHECK_EQ(told.find("cancel s39"), std::string::npos);  // a load must never run twice
   }
 }
 
 TEST_CASE(
     "the module: rule 1 holds with budgets, also where nobody may ever start and the clock steps back") {
-  Entry none = entry("north", 0);
-  none.terms.ceiling.cores = 0;
+  NodeEntry none = entry("north", 0);
+  none.settings.ceiling.cores = 0;
   BudgetScene scene(Scene::site(), planOf({none}));
   scene.nodes({1});
   scene.take("never", "quick", 0.1, "north");
@@ -611,30 +614,30 @@
 }
 
 TEST_CASE("shared rates: what is put by stays the same work, and what was borrowed ends by itself") {
-  Plan plan;
+  BudgetSettings plan;
   plan.entries = {{"a", "", {}}};
-  plan.entries[0].terms.guarantee.cores = 10, plan.entries[0].terms.burst = 2;
-  Tree tree(plan, 0.1);  // one core here
-  Item item;
-  item.actor = {"a", "p"}, item.work = 1.5;
-  tree.take(item, 100), tree.hold(item, false, 100);
-  REQUIRE_EQ(tree.next(100), &item);
-  tree.unhold(item, 100), tree.started(item, 100);  // of 2 s put by, 0.5 are left
-  const Bucket& right = tree.find("a")->right;
-  CHECK_EQ(right.work(100), doctest::Approx(0.5));
-  tree.rate("a", false, 8, 100);
-  CHECK_EQ(right.work(100), doctest::Approx(0.5));
-  CHECK_EQ(right.work(101), doctest::Approx(8.5));
-  tree.rate("a", false, 0.1, 101);
-  CHECK_EQ(right.work(101), doctest::Approx(0.2));  // no more than its burst
-
-  Office office(plan, 10);
-  office.advanceTo(100);
-  office.share({{1, {{105, 3}, {102, 2}}}});
-  auto cores = [&] { return office.tree().find("a")->right.rate; };
+  plan.entries[0].settings.guarantee.cores = 10, plan.entries[0].settings.burst = 2;
+  BudgetTree tree(plan, 0.1);  // one core here
+  QueuedCommand item;
+  item.path = {"a", "p"}, item.work = 1.5;
+  tree.add(item, 100), tree.enqueue(item, false, 100);
+  REQUIRE_EQ(tree.selectNext(100), &item);
+  tree.dequeue(item, 100), tree.sendStarted(item, 100);  // of 2 s put by, 0.5 are left
+  const TokenBucket& right = tree.find("a")->guarantee;
+  CHECK_EQ(right.balance(100), doctest::Approx(0.5));
+  tree.setRate("a", false, 8, 100);
+  CHECK_EQ(right.balance(100), doctest::Approx(0.5));
+  CHECK_EQ(right.balance(101), doctest::Approx(8.5));
+  tree.setRate("a", false, 0.1, 101);
+  CHECK_EQ(right.balance(101), doctest::Approx(0.2));  // no more than its burst
+
+  TreeScheduler scheduler(plan, 10);
+  scheduler.advanceTo(100);
+  scheduler.setQuotas({{1, {{105, 3}, {102, 2}}}});
+  auto cores = [&] { return scheduler.tree().find("a")->guarantee.rate; };
   CHECK_EQ(cores(), 6);
-  office.advanceTo(102);
+  scheduler.advanceTo(102);
   CHECK_EQ(cores(), 4);
-  office.advanceTo(700);  // however long nothing came
+  scheduler.advanceTo(700);  // however long nothing came
   CHECK_EQ(cores(), 1);
 }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -9,14 +9,14 @@
 TEST_CASE("the example of a gateway file is read as it stands") {
   auto config = readGateway(std::string(EXAMPLES) + "gateway.example.json");
   REQUIRE(config.budgets);
-  const budget::Plan& plan = *config.budgets;
-  CHECK_EQ(plan.actor, "X-User");
-  CHECK_EQ(plan.preempt, budget::Preempt::lower);
-  CHECK(plan.tellWaits);
+  const budget::BudgetSettings& plan = *config.budgets;
+  CHECK_EQ(plan.actorHeader, "X-User");
+  CHECK_EQ(plan.preemptionMode, budget::PreemptionMode::lowerPriority);
+  CHECK(plan.adviseRetryAfter);
   REQUIRE_EQ(plan.entries.size(), 5);
-  CHECK_EQ(plan.entries[1].terms.guarantee.cores, 16);
-  CHECK_EQ(plan.entries[1].terms.burst, 5);
-  CHECK_EQ(plan.entries[1].terms.ageAfter, 2);                          // the default's
+  CHECK_EQ(plan.entries[1].settings.guarantee.cores, 16);
+  CHECK_EQ(plan.entries[1].settings.burst, 5);
+  CHECK_EQ(plan.entries[1].settings.agingThreshold, 2);                 // the default's
   CHECK_EQ(budget::parentOf(plan, plan.entries[2]), &plan.entries[1]);  // by its path
   CHECK_FALSE(readGateway(Json::object(), "empty").budgets);
 }
@@ -26,8 +26,8 @@
   REQUIRE((config.members && config.budgets && config.shared));
   CHECK_EQ(config.members->peers[2].name, "n3");
   CHECK_EQ(textOf(config.members->peers[2].at), "10.0.0.6:4300");
-  CHECK_EQ(config.shared->members, 3);
-  CHECK((config.shared->amounts == std::vector<double>{16, 8, 20}));
+  CHECK_EQ(config.shared->memberCount, 3);
+  CHECK((config.shared->quotas == std::vector<double>{16, 8, 20}));
   auto rates = budget::fleetRates(*config.budgets);
   CHECK_EQ(rates[2].name(), "partners#ceiling");
 }
--- a/tests/fleet/view_fleet.h
+++ b/tests/fleet/view_fleet.h
@@ -6,7 +6,7 @@
 #include <regex>
 
 #include "service.h"
-#include "view/rank.h"
+#include "view/rendezvous_rank.h"
 
 namespace {
 
@@ -205,7 +205,7 @@
     return bytes;
   }
   int place(size_t process, uint32_t engine) const {
-    return elmcleat::view::placeOf(engine, ordinal[process], all, all);
+    return elmcleat::view::rendezvousRank(engine, ordinal[process], all, all);
   }
   struct Sent {
     double at;
--- a/tests/fleet/view_test.cpp
+++ b/tests/fleet/view_test.cpp
@@ -307,7 +307,7 @@
   Service service(engines, 2);
   auto id = [](int place) {  // the first engine where the dispatcher 0 of two stands there
     for (uint32_t one = 1;; ++one)
-      if (elmcleat::view::placeOf(one, 0, 2, 2) == place)
+      if (elmcleat::view::rendezvousRank(one, 0, 2, 2) == place)
         return one;
   };
   auto& hosts = service.config["known"]["results"][0]["fleet"]["hosts"];
--- a/tests/fuzz/members_fuzz.cpp
+++ b/tests/fuzz/members_fuzz.cpp
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "lab/gossip.h"
-#include "shared/wire.h"
+#include "shared/lease_codec.h"
 
 using namespace elmcleat;
 using namespace elmcleat::members;
@@ -42,11 +42,11 @@
     return 0;
   double now = 0, step = static_cast<unsigned char>(in[0]) / 32.0;
   Core core(plan, 0, {5, 1}, 1, now);
-  shared::LoanTerms terms;
-  terms.members = 8, terms.amounts = {80, 8};
-  const shared::LetterWire letters({"a", "b"}, terms.amounts);
-  shared::Loans loans(terms, 0, 5, 1, now);
-  loans.want(0, 60), loans.want(1, 0.5);
+  shared::LeaseSettings terms;
+  terms.memberCount = 8, terms.quotas = {80, 8};
+  const shared::LeaseCodec letters({"a", "b"}, terms.quotas);
+  shared::LeaseManager loans(terms, 0, 5, 1, now);
+  loans.setDemand(0, 60), loans.setDemand(1, 0.5);
   for (size_t at = 1; at + 2 <= in.size(); now += step) {
     size_t length = size_t(static_cast<unsigned char>(in[at])) << 8 | static_cast<unsigned char>(in[at + 1]);
     std::string bytes = sealed(in.substr(at + 2, length));
@@ -66,11 +66,11 @@
     const Claim& own = core.claimOf(0);
     must(core.aside() || own.state == State::alive, "it was talked into its own end");
     must(core.life().incarnation < (uint64_t{1} << 62) + 1000, "numbers ran away");
-    if (auto letter = letters.read(in.substr(at - length, length), 1 + int(length % 7), 0))
-      loans.hear(now, *letter);
-    loans.tick(now), loans.out();
+    if (auto letter = letters.decode(in.substr(at - length, length), 1 + int(length % 7), 0))
+      loans.receive(now, *letter);
+    loans.tick(now), loans.takeOutgoing();
     for (size_t i = 0; i < 2; ++i)  // no more than all own, and no less than nothing
-      must(loans.usable(i, now) >= 0 && loans.usable(i, now) <= terms.amounts[i] * 1.0000001,
+      must(loans.available(i, now) >= 0 && loans.available(i, now) <= terms.quotas[i] * 1.0000001,
            "loans out of all bounds");
     must(core.wakes() >= 0, "it wants to be woken in the past");
   }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -135,13 +135,13 @@
 
 TEST_CASE("a view bounds who uses an engine; a zone alone is lost, and a roll replaces its part in steps") {
   Scenario scene = readScenario(std::string(SCENARIOS) + "view-small.json");
-  scene.lasts = 12, scene.troubles.clear(), scene.view->users = scene.view->mostUsers = 4;
+  scene.lasts = 12, scene.troubles.clear(), scene.view->usersPerEngine = scene.view->maxUsersPerEngine = 4;
   scene.fleet.gateways = scene.settings.gatewayCount = 24;
   auto mostUsers = [&](const char* variant) {
     return figuresOf(scene, play(scene, 1, variantNamed(variant))).at("engines.users.most");
   };
-  CHECK_LE(mostUsers(""), scene.view->users);
-  CHECK_GT(mostUsers("whole"), scene.view->users);
+  CHECK_LE(mostUsers(""), scene.view->usersPerEngine);
+  CHECK_GT(mostUsers("whole"), scene.view->usersPerEngine);
   auto told = [&](Mark mark) {  // engines, by one gateway
     std::map<uint32_t, int> times;
     Record record = play(scene, 1, variantNamed(""));
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -6,7 +6,7 @@
 
 #include "lab/lending.h"
 #include "seeds.h"
-#include "shared/wire.h"
+#include "shared/lease_codec.h"
 
 using namespace elmcleat;
 using namespace elmcleat::shared;
@@ -14,14 +14,15 @@
 
 namespace {
 
-LoanTerms terms(int members, std::vector<double> amounts = {100}) {
-  LoanTerms terms;
-  terms.members = members, terms.amounts = std::move(amounts);
+LeaseSettings terms(int members, std::vector<double> amounts = {100}) {
+  LeaseSettings terms;
+  terms.memberCount = members, terms.quotas = std::move(amounts);
   return terms;
 }
 const double kOver = 2 + 4 * 0.1;  // seconds: a loan and its guards
 
-Letter letter(Letter::Kind kind, int from, int to, uint64_t life, uint64_t number, double units = 0) {
+LeaseMessage letter(LeaseMessage::Kind kind, int from, int to, uint64_t life, uint64_t number,
+                    double units = 0) {
   return {kind, from, to, life, number, {{0, units, 0}}};
 }
 
@@ -89,56 +90,58 @@
 }
 
 TEST_CASE("letters of an earlier life, copies, late answers and nonsense move nothing") {
-  Loans one(terms(3, {90}), 0, 5, 1, 0);
-  one.want(0, 60);
+  LeaseManager one(terms(3, {90}), 0, 5, 1, 0);
+  one.setDemand(0, 60);
   one.tick(3);
-  auto asks = one.out();
+  auto asks = one.takeOutgoing();
   REQUIRE_EQ(asks.size(), 2);
   int lender = asks[0].to;
-  double own = one.usable(0, 3);
+  double own = one.available(0, 3);
   CHECK_EQ(own, 30);
-  one.hear(3.1, letter(Letter::Kind::grant, lender, 0, 4, asks[0].number, 20));      // another life's
-  one.hear(3.1, letter(Letter::Kind::grant, lender, 0, 5, asks[0].number + 7, 20));  // never asked
-  one.hear(3.1, letter(Letter::Kind::grant, 0, 0, 5, asks[0].number, 20));           // from itself
-  one.hear(3.1, letter(Letter::Kind::grant, 7, 0, 5, asks[0].number, 20));           // nobody
-  Letter odd = letter(Letter::Kind::grant, lender, 0, 5, asks[0].number, -3);
-  one.hear(3.1, odd);
-  odd.lines = {{9, 1, 0}};
-  one.hear(3.1, odd);
-  CHECK_EQ(one.refused(), 6);
-  CHECK_EQ(one.usable(0, 3.1), own);
-  one.hear(3.2,
-           letter(Letter::Kind::grant, lender, 0, 5, asks[0].number, 1000));  // no more than a member has
-  CHECK_EQ(one.usable(0, 3.2), own + 30);
-  one.hear(3.3, letter(Letter::Kind::grant, lender, 0, 5, asks[0].number, 10));  // a copy
-  CHECK_EQ(one.usable(0, 3.3), own + 30);
-  CHECK_EQ(one.usable(0, 3 + 2 - 0.1), own);  // counted from the ask
-  CHECK_EQ(one.parts(0, 3.3).at(3 + 2 - 0.1), own);
+  one.receive(3.1,
+              letter(LeaseMessage::Kind::grant, lender, 0, 4, asks[0].requestNumber, 20));  // another life's
+  one.receive(3.1,
+              letter(LeaseMessage::Kind::grant, lender, 0, 5, asks[0].requestNumber + 7, 20));  // never asked
+  one.receive(3.1, letter(LeaseMessage::Kind::grant, 0, 0, 5, asks[0].requestNumber, 20));      // from itself
+  one.receive(3.1, letter(LeaseMessage::Kind::grant, 7, 0, 5, asks[0].requestNumber, 20));      // nobody
+  LeaseMessage odd = letter(LeaseMessage::Kind::grant, lender, 0, 5, asks[0].requestNumber, -3);
+  one.receive(3.1, odd);
+  odd.items = {{9, 1, 0}};
+  one.receive(3.1, odd);
+  CHECK_EQ(one.rejectedMessages(), 6);
+  CHECK_EQ(one.available(0, 3.1), own);
+  one.receive(3.2, letter(LeaseMessage::Kind::grant, lender, 0, 5, asks[0].requestNumber,
+                          1000));  // no more than a member has
+  CHECK_EQ(one.available(0, 3.2), own + 30);
+  one.receive(3.3, letter(LeaseMessage::Kind::grant, lender, 0, 5, asks[0].requestNumber, 10));  // a copy
+  CHECK_EQ(one.available(0, 3.3), own + 30);
+  CHECK_EQ(one.available(0, 3 + 2 - 0.1), own);  // counted from the ask
+  CHECK_EQ(one.availableQuota(0, 3.3).availableAt(3 + 2 - 0.1), own);
 }
 
 TEST_CASE(
     "letters as bytes: by name and amount; what differs between two files is left out, garbage is none") {
-  LetterWire here({"a#guarantee", "b#ceiling", "c#ceiling"}, {10, 20, 30});
-  LetterWire there({"c#ceiling", "a#guarantee", "b#ceiling"}, {30, 10, 21});
-  Letter sent{Letter::Kind::grant, 1, 2, 7, 9, {{0, 1.5, 0.25}, {1, 2, 0}, {2, 3, 0}}};
-  std::string bytes = here.write(sent);
-  auto read = there.read(bytes, 1, 2);
+  LeaseCodec here({"a#guarantee", "b#ceiling", "c#ceiling"}, {10, 20, 30});
+  LeaseCodec there({"c#ceiling", "a#guarantee", "b#ceiling"}, {30, 10, 21});
+  LeaseMessage sent{LeaseMessage::Kind::grant, 1, 2, 7, 9, {{0, 1.5, 0.25}, {1, 2, 0}, {2, 3, 0}}};
+  std::string bytes = here.encode(sent);
+  auto read = there.decode(bytes, 1, 2);
   REQUIRE(read);
-  CHECK(
-      (read->kind == sent.kind && read->from == 1 && read->to == 2 && read->life == 7 && read->number == 9));
-  REQUIRE_EQ(read->lines.size(), 2);  // b is another amount there
-  CHECK((read->lines[0].amount == 1 && read->lines[0].units == 1.5 && read->lines[0].spare == 0.25));
-  CHECK((read->lines[1].amount == 0 && read->lines[1].units == 3));
-  CHECK_FALSE(there.read("\x08\x07", 1, 2));  // a kind that is none
-  CHECK_FALSE(there.read("garbage", 1, 2));
+  CHECK((read->kind == sent.kind && read->from == 1 && read->to == 2 && read->instance == 7 &&
+         read->requestNumber == 9));
+  REQUIRE_EQ(read->items.size(), 2);  // b is another amount there
+  CHECK((read->items[0].quota == 1 && read->items[0].units == 1.5 && read->items[0].lendable == 0.25));
+  CHECK((read->items[1].quota == 0 && read->items[1].units == 3));
+  CHECK_FALSE(there.decode("\x08\x07", 1, 2));  // a kind that is none
+  CHECK_FALSE(there.decode("garbage", 1, 2));
 }
 
 TEST_CASE("terms: what no loan could hold by is told") {
-  LoanTerms bad = terms(0, {1, 0});
-  bad.guard = 1, bad.kept = 2;
-  auto flaws = flawsOf(bad);
+  LeaseSettings bad = terms(0, {1, 0});
+  bad.guardTime = 1, bad.reservedShare = 2;
+  auto flaws = validate(bad);
   CHECK_EQ(flaws.size(), 4);
-  CHECK(flawsOf(terms(3)).empty());
+  CHECK(validate(terms(3)).empty());
 }
 
 TEST_CASE("random faults: never over the amount, at any step; and all of it is usable again afterwards") {
--- a/tests/threads_test.cpp
+++ b/tests/threads_test.cpp
@@ -76,14 +76,14 @@
     plan.peers.push_back(
         {"n" + std::to_string(plan.peers.size()), {ntohl(at.sin_addr.s_addr), ntohs(at.sin_port)}});
   Sharing sharing;
-  sharing.terms.members = 2, sharing.terms.amounts = {10}, sharing.rates = {{"a", false, 10}};
+  sharing.terms.memberCount = 2, sharing.terms.quotas = {10}, sharing.rates = {{"a", false, 10}};
   Control borrower(clock, plan, "n0", 1, sharing), lender(clock, plan, "n1", 2, sharing);
   auto look = [&](Control& control, double want, bool heeds) {  // as a traffic thread does
     const Told* told = control.usable();
     control.want({want});
     if (heeds)
       control.heeded(told->members.number);
-    return told->usable[0].at(clock.now());
+    return told->usable[0].availableAt(clock.now());
   };
   double most = 0;
   for (double end = now() + 4; now() < end; pause(0.005)) {
--- a/tests/view_cold_test.cpp
+++ b/tests/view_cold_test.cpp
@@ -15,8 +15,8 @@
 #include "policy.h"
 #include "quiet_outlet.h"
 #include "seeds.h"
-#include "view/rank.h"
-#include "view/view.h"
+#include "view/engine_subset.h"
+#include "view/rendezvous_rank.h"
 
 using namespace elmcleat;
 
@@ -71,9 +71,9 @@
     for (; !ends.empty(); ends.pop())
       cold.inHand -= ends.top().isCold;
     works.clear(), held.clear(), policy.reset(), told = false;
-    view = std::make_unique<view::View>(view::Plan{kUsers, 4 * kUsers, 8, 0.5, 30},
-                                        settingsOf(dispatchers, number));
-    policy = createPolicy(view->local(), seed++, *this);
+    view = std::make_unique<view::EngineSubset>(view::SubsetSettings{kUsers, 4 * kUsers, 8, 0.5, 30},
+                                                settingsOf(dispatchers, number));
+    policy = createPolicy(view->localSettings(), seed++, *this);
     policy->advanceTo(now + off);
     hear({0, true, list}, EngineListKind::full);
   }
@@ -103,12 +103,12 @@
   }
   void shed(Command& command, double) override { works.erase(&command); }
   void fail(Command& command) override { works.erase(&command); }
-  void ejectionChanged(uint32_t node, bool is) override { view->rests(node, is); }
+  void ejectionChanged(uint32_t node, bool is) override { view->setEjected(node, is); }
 
   void step(double time, double arrivals, double mean, Pcg32& chance) {
     now = time;
     policy->advanceTo(time + off);
-    if (view->wakes() <= time + off)
+    if (view->nextWakeUp() <= time + off)
       show(view->tick(time + off), EngineListKind::delta);
     while (!ends.empty() && ends.top().at <= time) {
       auto [at, sent, command, isCold] = ends.top();
@@ -133,7 +133,7 @@
   double off, now = 100, due = 0;
   bool told = false;  // of the cold engine's start
   ColdEngine& cold;
-  std::unique_ptr<view::View> view;
+  std::unique_ptr<view::EngineSubset> view;
   std::unique_ptr<Policy> policy;
   std::map<Command*, double> works;
   std::map<Command*, std::shared_ptr<Command>> held;
@@ -189,7 +189,7 @@
     int of = kDispatchers + (ordinal == kDispatchers || (differ && chance.next() % 2));
     if (ordinal == kDispatchers && !differ)
       break;
-    int place = view::placeOf(cold.id, ordinal, of, 4 * kUsers);
+    int place = view::rendezvousRank(cold.id, ordinal, of, 4 * kUsers);
     if (place < kUsers)
       add(ordinal, of, false);
     else if (wide && place < 4 * kUsers && chance.next() % 12 == 0)
--- a/tests/view_scene.h
+++ b/tests/view_scene.h
@@ -8,8 +8,8 @@
 #include <set>
 #include <stdexcept>
 
-#include "view/rank.h"
-#include "view/view.h"
+#include "view/engine_subset.h"
+#include "view/rendezvous_rank.h"
 
 namespace scene {
 
@@ -51,16 +51,17 @@
 inline int placeBySorting(uint32_t id, int ordinal, int dispatchers) {
   std::vector<std::pair<uint64_t, int>> order;
   for (int i = 0; i < dispatchers; ++i)
-    order.push_back({~weightOf(id, uint32_t(i)), i});
+    order.push_back({~rendezvousWeight(id, uint32_t(i)), i});
   std::ranges::sort(order);
   return int(std::ranges::find(order, ordinal, &std::pair<uint64_t, int>::second) - order.begin());
 }
 
 struct Dispatcher {
-  View view;
+  EngineSubset view;
   std::map<uint32_t, Listing> engines = {};  // in view, as told
   uint64_t told = 0;
-  Dispatcher(const Plan& plan, int dispatchers, int ordinal) : view(plan, settingsOf(dispatchers, ordinal)) {}
+  Dispatcher(const SubsetSettings& plan, int dispatchers, int ordinal)
+      : view(plan, settingsOf(dispatchers, ordinal)) {}
 
   void take(const std::vector<Listing>& changes) {
     told += changes.size();
@@ -81,10 +82,10 @@
   // All that comes by itself until then; `after` looks at each step.
   template <class After>
   void until(double end, After&& after) {
-    for (int steps = 0; view.wakes() <= end; ++steps) {
+    for (int steps = 0; view.nextWakeUp() <= end; ++steps) {
       if (steps > 2000)
         throw std::logic_error("wakes without an end");
-      double now = view.wakes();
+      double now = view.nextWakeUp();
       take(view.tick(now)), after(now);
     }
     take(view.tick(end)), after(end);
@@ -100,7 +101,7 @@
 
 // What one dispatcher has been told and found, and what must be true then.
 struct Model {
-  Plan plan;
+  SubsetSettings plan;
   int dispatchers, ordinal;
   std::map<uint32_t, Listing> list = {}, latest = {};  // the latter with those that have gone
   std::set<uint32_t> unfit = {};
@@ -113,7 +114,7 @@
     at->second = row;
     row.row.state == kGone ? void(list.erase(row.row.id)) : void(list.insert_or_assign(row.row.id, row));
   }
-  int base() const { return std::min(plan.users, dispatchers); }
+  int base() const { return std::min(plan.usersPerEngine, dispatchers); }
   int placeOf(uint32_t id) {
     auto [at, fresh] = places.try_emplace(id, 0);
     if (fresh)
@@ -129,13 +130,13 @@
   }
   int boundOf(int which) const {
     int count = countOf(which), wide = 1;
-    while (count > 0 && wide * count < 2 * dispatchers * plan.least)
+    while (count > 0 && wide * count < 2 * dispatchers * plan.minEnginesPerClass)
       wide *= 2;
-    return std::min(dispatchers, std::max(plan.mostUsers, wide));
+    return std::min(dispatchers, std::max(plan.maxUsersPerEngine, wide));
   }
   int needOf(int which) const {
-    double part = plan.usablePart * countOf(which) * base() / dispatchers;
-    return std::max(std::min(plan.least, countOf(which)), int(std::ceil(part - 1e-9)));
+    double part = plan.minUsableShare * countOf(which) * base() / dispatchers;
+    return std::max(std::min(plan.minEnginesPerClass, countOf(which)), int(std::ceil(part - 1e-9)));
   }
   int usableBefore(int which, int place, double now) {
     int usable = 0;
@@ -192,11 +193,11 @@
       if (usable < std::min(needOf(which), usableBefore(which, boundOf(which), now)))
         return "too few of class " + std::to_string(which);
     }
-    return is.view.figures().used == is.inService().size() ? "" : "used: counted otherwise";
+    return is.view.statistics().inUse == is.inService().size() ? "" : "used: counted otherwise";
   }
 };
 
-inline Plan planOf(int users, int mostUsers, int least, double usablePart = 0.5) {
+inline SubsetSettings planOf(int users, int mostUsers, int least, double usablePart = 0.5) {
   return {users, mostUsers, least, usablePart, 5};
 }
 
--- a/tests/view_test.cpp
+++ b/tests/view_test.cpp
@@ -26,7 +26,7 @@
     std::set<int> places;
     for (int i = 0; i < dispatchers; ++i) {
       int place = placeBySorting(id, i, dispatchers);
-      RC_ASSERT(placeOf(id, i, dispatchers, cap) == std::min(place, cap));
+      RC_ASSERT(rendezvousRank(id, i, dispatchers, cap) == std::min(place, cap));
       places.insert(place);
     }
     RC_ASSERT(int(places.size()) == dispatchers);
@@ -34,11 +34,11 @@
   std::vector<int> first(100);  // and none is favoured, with ids and ordinals that count up
   for (uint32_t id = 0; id < 20000; ++id)
     for (int i = 0; i < 100; ++i)
-      first[size_t(i)] += placeOf(id, i, 100, 1) == 0;
+      first[size_t(i)] += rendezvousRank(id, i, 100, 1) == 0;
   int both = 0;  // nor does one follow from another: 2,000 engines, 99 pairs, a hundredth of them by chance
   for (uint32_t id = 0; id < 2000; ++id)
     for (int i = 0; i < 99; ++i)
-      both += placeOf(id, i + 1, 100, 10) < 10 && placeOf(id + 1, i, 100, 10) < 10;
+      both += rendezvousRank(id, i + 1, 100, 10) < 10 && rendezvousRank(id + 1, i, 100, 10) < 10;
   CHECK_LT(std::abs(both - 1980), 5 * std::sqrt(1980));
   auto [least, most] = std::ranges::minmax(first);
   CHECK_GT(least, 200 - 5 * std::sqrt(200));
@@ -48,7 +48,8 @@
 TEST_CASE("an engine has its users, each with a place of its own, whatever lists they have") {
   CHECK(rc::check([] {
     int dispatchers = *rc::gen::inRange(1, 20);
-    Plan plan = planOf(*rc::gen::inRange(1, 8), 8 + *rc::gen::inRange(0, 8), *rc::gen::inRange(1, 4));
+    SubsetSettings plan =
+        planOf(*rc::gen::inRange(1, 8), 8 + *rc::gen::inRange(0, 8), *rc::gen::inRange(1, 4));
     auto ids = *rc::gen::unique<std::vector<uint32_t>>(rc::gen::arbitrary<uint32_t>());
     int64_t born = int64_t(kBegin * 1000);
     std::map<uint32_t, std::set<int>> users, listers;
@@ -65,7 +66,7 @@
       for (auto& [id, row] : model.list)
         one.changes({row}), listers[id].insert(i);
       for (size_t e = 0; e < ids.size(); e += 2)
-        one.view.rests(ids[e], true);
+        one.view.setEjected(ids[e], true);
       one.take(one.view.tick(kBegin));
       for (auto& [id, told] : one.engines) {
         ++all[id];
@@ -76,7 +77,7 @@
       for (int which = 0; which < kClasses; ++which)
         bound = std::max(bound, model.boundOf(which));
     }
-    int first = std::min(plan.users, dispatchers);
+    int first = std::min(plan.usersPerEngine, dispatchers);
     for (auto& [id, by] : listers) {
       std::set<int> should;
       for (int i : by)
@@ -93,8 +94,8 @@
 TEST_CASE("whatever comes, a view is in order, within its bound, has enough, and forgets how it came about") {
   CHECK(rc::check([] {
     int dispatchers = *rc::gen::inRange(1, 40), users = *rc::gen::inRange(1, 10);
-    Plan plan = planOf(users, users + *rc::gen::inRange(0, 12), *rc::gen::inRange(1, 6),
-                       *rc::gen::element(0.0, 0.5, 1.0));
+    SubsetSettings plan = planOf(users, users + *rc::gen::inRange(0, 12), *rc::gen::inRange(1, 6),
+                                 *rc::gen::element(0.0, 0.5, 1.0));
     int ordinal = *rc::gen::inRange(0, dispatchers);
     Dispatcher one(plan, dispatchers, ordinal);
     Model model{plan, dispatchers, ordinal};
@@ -141,7 +142,7 @@
         case What::fit:
           for (auto& [near, told] : one.engines)
             if (int(near % 8) <= way)
-              one.view.rests(near, What(kind) == What::unfit),
+              one.view.setEjected(near, What(kind) == What::unfit),
                   What(kind) == What::unfit ? void(model.unfit.insert(near)) : void(model.unfit.erase(near));
           break;
         case What::wait:
@@ -165,7 +166,7 @@
     one.until(now + 500, sound);
     RC_ASSERT(model.broken(one, now + 500, true) == "");
     for (auto& [id, told] : one.engines)
-      one.view.rests(id, false);
+      one.view.setEjected(id, false);
     model.unfit.clear();
     one.until(now + 1000, sound);
     Dispatcher anew(plan, dispatchers, ordinal);
@@ -175,7 +176,7 @@
     anew.whole(rows, now + 1000);
     RC_ASSERT(model.broken(anew, now + 1000, true) == "");
     RC_ASSERT(anew.inService() == one.inService());
-    RC_ASSERT(one.view.wakes() == HUGE_VAL);
+    RC_ASSERT(one.view.nextWakeUp() == HUGE_VAL);
   }));
 }
 
