--- a/src/config/gateway.cpp
+++ b/src/config/gateway.cpp
@@ -54,19 +54,19 @@
   return plan;
 }
 
-members::Plan readMembers(const Section& section) {
-  members::Plan plan;
+members::MembershipSettings readMembers(const Section& section) {
+  members::MembershipSettings plan;
   plan.fleet = section.need<std::string>("fleet");
   for (auto& row : section.rows("peers")) {
     members::Peer peer{row.need<std::string>("name"), {}};
     // What is no address is told below, with all other faults.
-    peer.at = readAddress(row.need<std::string>("at")).value_or(Address{});
+    peer.address = readAddress(row.need<std::string>("at")).value_or(Address{});
     plan.peers.push_back(peer);
   }
-  plan.period = section.get("periodS", plan.period);
-  plan.suspectLeast = section.get("suspectLeastS", plan.suspectLeast);
-  plan.suspectMost = section.get("suspectMostS", plan.suspectMost);
-  plan.longestPromise = section.get("longestPromiseS", plan.longestPromise);
+  plan.probeInterval = section.get("periodS", plan.probeInterval);
+  plan.minSuspicionTime = section.get("suspectLeastS", plan.minSuspicionTime);
+  plan.maxSuspicionTime = section.get("suspectMostS", plan.maxSuspicionTime);
+  plan.maxPromiseDuration = section.get("longestPromiseS", plan.maxPromiseDuration);
   return plan;
 }
 
@@ -120,8 +120,8 @@
       if (auto at = rows[i].need<std::string>("at"); !readAddress(at))
         faults.push_back(path + ": " + rows[i].nameOf("at") + ": found '" + at +
                          "'; allowed is an IPv4 address and a port");
-    for (auto& flaw : members::flawsOf(*config.members))
-      faults.push_back(path + ": members." + flaw.key + ": " + flaw.why);
+    for (auto& flaw : members::validate(*config.members))
+      faults.push_back(path + ": members." + flaw.key + ": " + flaw.message);
   });
   read("shared", [&](const Section& section) {
     if (!config.members || !config.budgets) {
@@ -132,7 +132,7 @@
     config.shared = readShared(section, int(config.members->peers.size()), *config.budgets);
     for (auto& flaw : shared::validate(*config.shared))
       faults.push_back(path + ": shared." + flaw.key + ": " + flaw.message);
-    if (config.shared->leaseDuration + 2 * config.shared->guardTime > config.members->longestPromise)
+    if (config.shared->leaseDuration + 2 * config.shared->guardTime > config.members->maxPromiseDuration)
       faults.push_back(path + ": shared.loanS: with its guards it is longer than members.longestPromiseS");
     if (config.shared->quotas.empty())
       faults.push_back(path +
--- a/src/config/gateway.h
+++ b/src/config/gateway.h
@@ -6,17 +6,17 @@
 
 #include "budget/budget_settings.h"
 #include "config/schema.h"
-#include "members/plan.h"
+#include "members/membership_settings.h"
 #include "shared/lease_manager.h"
 #include "view/subset_settings.h"
 
 namespace elmcleat {
 
 struct GatewayConfig {
-  std::optional<budget::BudgetSettings> budgets;  // none: the module's own turns decide alone
-  std::optional<members::Plan> members;           // none: this process speaks with no other
-  std::optional<shared::LeaseSettings> shared;    // none: budgets are divided equally; else by loans
-  std::optional<view::SubsetSettings> view;       // none: this process uses all engines of the list
+  std::optional<budget::BudgetSettings> budgets;       // none: the module's own turns decide alone
+  std::optional<members::MembershipSettings> members;  // none: this process speaks with no other
+  std::optional<shared::LeaseSettings> shared;         // none: budgets are divided equally; else by loans
+  std::optional<view::SubsetSettings> view;            // none: this process uses all engines of the list
 };
 
 // Throws Faults, with all that is wrong.
@@ -25,7 +25,7 @@
 
 // The sections by themselves; the laboratory's scenarios hold them too.
 budget::BudgetSettings readBudgets(const Section& section);
-members::Plan readMembers(const Section& section);
+members::MembershipSettings readMembers(const Section& section);
 view::SubsetSettings readView(const Section& section);
 // Members and amounts are those of the whole fleet.
 shared::LeaseSettings readShared(const Section& section, int members, const budget::BudgetSettings& budgets);
--- a/src/control/control.h
+++ b/src/control/control_thread.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "budget/budget_settings.h"
-#include "members/plan.h"
-#include "members/view.h"
+#include "members/membership_settings.h"
+#include "members/snapshot.h"
 #include "runtime/latest.h"
 #include "runtime/scheduler.h"
 #include "shared/lease_manager.h"
@@ -19,59 +19,59 @@
 namespace elmcleat {
 
 // What control state is to a traffic thread, at one moment.
-struct Told {
-  members::View members;
+struct ControlSnapshot {
+  members::MembershipSnapshot members;
   std::vector<shared::AvailableQuota>
-      usable;  // of the rates that are shared, in the order of budget::fleetRates()
+      quotas;  // of the rates that are shared, in the order of budget::fleetRates()
 };
 
 // Rates of budgets that go to where they are asked for.
-struct Sharing {
-  shared::LeaseSettings terms;
+struct QuotaSharing {
+  shared::LeaseSettings settings;
   std::vector<budget::FleetRate> rates;
 };
 
-class Control {
+class ControlThread {
  public:
-  // Binds the sockets, so that the start ends with what is wrong: members::Fault. `name` is this process's; the clock is
+  // Binds the sockets, so that the start ends with what is wrong: members::Error. `name` is this process's; the clock is
   // that of both threads, so that ages can be told.
-  Control(const Clock& clock, const members::Plan& plan, const std::string& name, uint64_t seed,
-          const std::optional<Sharing>& sharing = {});
-  Control(const Control&) = delete;
-  Control& operator=(const Control&) = delete;
-  ~Control();
+  ControlThread(const Clock& clock, const members::MembershipSettings& settings, const std::string& name,
+                uint64_t seed, const std::optional<QuotaSharing>& sharing = {});
+  ControlThread(const ControlThread&) = delete;
+  ControlThread& operator=(const ControlThread&) = delete;
+  ~ControlThread();
 
   // All that follows is for the traffic thread. The latest view, or null where there is none or it is too old to act on.
-  const Told* latest(double now);
+  const ControlSnapshot* latest(double now);
   // Looks now and then whether the control thread still tells something, and logs when that changes.
   void watch(Scheduler& traffic);
   // The latest of what may be used, whatever its age: each loan in it holds until its own end. `number` is that of its
-  // view; once it is in force here, heeded(number) lets go what rests on it.
-  const Told* usable() { return told_.get(); }
-  void heeded(uint64_t number) { heeded_.store(number, std::memory_order_release); }
-  void want(std::vector<double> cores) {
-    wants_.put(std::make_unique<const std::vector<double>>(std::move(cores)));
+  // view; once it is in force here, acknowledge(number) lets go what rests on it.
+  const ControlSnapshot* latestQuotas() { return snapshot_.get(); }
+  void acknowledge(uint64_t number) { acknowledged_.store(number, std::memory_order_release); }
+  void setDemand(std::vector<double> cores) {
+    demand_.put(std::make_unique<const std::vector<double>>(std::move(cores)));
   }
 
   // Says goodbye to the others and ends the thread. It is given a bounded time; false: it hangs, and can't be waited for.
   bool stop();
 
  private:
-  struct Inside;
+  struct State;
   void run();
-  void tell(Inside& inside, double now);
-  void lend(Inside& inside, double now);
-  Task leave(Inside& inside, const Descriptor& wake);
+  void publishSnapshot(State& inside, double now);
+  void exchangeLeases(State& inside, double now);
+  Task leave(State& inside, const Descriptor& wake);
 
   const Clock& clock_;
   double startedAt_;
-  std::unique_ptr<Inside> inside_;
-  Latest<Told> told_;
-  Latest<std::vector<double>> wants_;  // the other way: cores that there is use for
-  std::atomic<uint64_t> heeded_{0};
+  std::unique_ptr<State> state_;
+  Latest<ControlSnapshot> snapshot_;
+  Latest<std::vector<double>> demand_;  // the other way: cores that there is use for
+  std::atomic<uint64_t> acknowledged_{0};
   std::atomic<bool> ended_{false};
   int wake_ = -1;  // an eventfd: stop() has been called
-  bool silent_ = false;
+  bool stalled_ = false;
   std::unique_ptr<Timer> watch_;
   std::thread thread_;
 };
--- a/src/lab/gossip.cpp
+++ b/src/lab/gossip.cpp
@@ -20,20 +20,20 @@
 
 }  // namespace
 
-Plan Gossip::plan(int count) {
-  Plan plan;
+MembershipSettings Gossip::plan(int count) {
+  MembershipSettings plan;
   plan.fleet = "laboratory";
   for (int i = 0; i < count; ++i)
     plan.peers.push_back({"n" + std::to_string(i), {0x7f000000u + uint32_t(i) + 1, 4300}});
   return plan;
 }
 
-Gossip::Gossip(Plan plan, uint64_t seed)
-    : plan_(std::move(plan)),
-      wire_(plan_),
+Gossip::Gossip(MembershipSettings plan, uint64_t seed)
+    : settings_(std::move(plan)),
+      codec_(settings_),
       chance_(seed),
-      hosts_(plan_.peers.size()),
-      cut_(plan_.peers.size(), std::vector<bool>(plan_.peers.size())),
+      hosts_(settings_.peers.size()),
+      cut_(settings_.peers.size(), std::vector<bool>(settings_.peers.size())),
       seeds_(seed << 20) {
   for (size_t i = 0; i < hosts_.size(); ++i)
     hosts_[i].member = int(i);
@@ -44,10 +44,10 @@
 // --- what happens to processes
 void Gossip::start(int member, double clockOff) {
   Host& its = host(member);
-  Life life{uint64_t(1e12 + now_ * 1e3 + clockOff * 1e3), 1};
-  its.core = std::make_unique<Core>(plan_, member, life, ++seeds_, now_);
+  ProcessInstance life{uint64_t(1e12 + now_ * 1e3 + clockOff * 1e3), 1};
+  its.membership = std::make_unique<Membership>(settings_, member, life, ++seeds_, now_);
   its.paused = false, its.waiting.clear();
-  its.held.assign(plan_.peers.size(), {});
+  its.held.assign(settings_.peers.size(), {});
   turn(its, nullptr);
 }
 
@@ -57,11 +57,11 @@
 }
 
 void Gossip::kill(int member) {
-  host(member).core.reset(), host(member).paused = false, ++host(member).version;
+  host(member).membership.reset(), host(member).paused = false, ++host(member).version;
 }
 
 void Gossip::leave(int member) {
-  host(member).core->leave(now_);
+  host(member).membership->leave(now_);
   turn(host(member), nullptr);
   kill(member);
 }
@@ -78,8 +78,9 @@
 void Gossip::second(int member) {
   Host& made = seconds_.emplace_back();
   made.member = member;
-  made.core = std::make_unique<Core>(plan_, member, Life{uint64_t(1e12 + now_ * 1e3), 1}, ++seeds_, now_);
-  made.held.assign(plan_.peers.size(), {});
+  made.membership = std::make_unique<Membership>(
+      settings_, member, ProcessInstance{uint64_t(1e12 + now_ * 1e3), 1}, ++seeds_, now_);
+  made.held.assign(settings_.peers.size(), {});
   turn(made, nullptr);
 }
 
@@ -99,37 +100,38 @@
 
 // --- turns
 void Gossip::turn(Host& its, const std::string* bytes) {
-  if (!its.core)
+  if (!its.membership)
     return;
   double began = threadSeconds();
   touched_.assign(1, its.member);
   if (bytes) {
-    auto read = wire_.read(*bytes);
+    auto read = codec_.decode(*bytes);
     if (auto* message = std::get_if<Message>(&read)) {
-      its.core->hear(now_, *message);
+      its.membership->receive(now_, *message);
       touched_.push_back(message->from);
-      for (auto& row : message->rows)
+      for (auto& row : message->updates)
         touched_.push_back(row.member);
     } else
-      its.core->wrong(std::get<Wrong>(read));
+      its.membership->countError(std::get<ErrorKind>(read));
   }
-  its.core->tick(now_);
+  its.membership->tick(now_);
   std::vector<std::pair<int, std::string>> out;
-  for (auto& message : its.core->out())
-    out.emplace_back(message.to, wire_.write(message));
-  double wakes = its.core->wakes();
+  for (auto& message : its.membership->takeOutgoing())
+    out.emplace_back(message.to, codec_.encode(message));
+  double wakes = its.membership->nextWakeUp();
   cpu_ += threadSeconds() - began;
-  for (auto& event : its.core->happened()) {
+  for (auto& event : its.membership->takeEvents()) {
     touched_.push_back(event.member);
-    if (event.wrong || event.why != "as seen from here" || !runs(event.member))
+    if (event.error || event.reason != "as seen from here" || !runs(event.member))
       continue;
-    if (event.state == State::down) {
+    if (event.state == MemberState::down) {
       ++downs_[size_t(its.member)];
       bool apart =
           cut_[size_t(its.member)][size_t(event.member)] || cut_[size_t(event.member)][size_t(its.member)];
-      wrongDowns_ += !apart && its.core->claimOf(event.member).instance == core(event.member).life().instance;
+      wrongDowns_ +=
+          !apart && its.membership->statusOf(event.member).instance == core(event.member).instance().instance;
     }
-    if (event.state == State::suspect)
+    if (event.state == MemberState::suspect)
       ++suspicions_[size_t(its.member)];
   }
   check(its);
@@ -146,7 +148,7 @@
 }
 
 void Gossip::deliver(int from, Host& to, const std::string& bytes) {
-  bool stream = bytes.size() > Core::kDatagram;
+  bool stream = bytes.size() > Membership::kMaxDatagramBytes;
   bytes_ += bytes.size(), ++messages_, streams_ += stream;
   largest_ = std::max(largest_, bytes.size());
   for (Traffic* its : {&traffic_[size_t(from)], &all_})
@@ -154,7 +156,7 @@
   if (stream)
     for (Host* its : {&host(from), &to})
       streamsAtOnce_ = std::max(streamsAtOnce_, ++its->streams);
-  if (bytes.size() > kMostBytes && broken_.empty())
+  if (bytes.size() > kMaxMessageBytes && broken_.empty())
     broken_ = "a message of " + std::to_string(bytes.size()) + " bytes";
   const Weather& link = regions_ && regionOf(from) != regionOf(to.member) ? between : weather;
   int copies = 1 + (chance_.uniform() < link.copies);
@@ -171,7 +173,7 @@
         --host(from).streams, --host(place).streams;
       if (cut_[size_t(from)][size_t(place)])
         return;
-      if (host(place).core)
+      if (host(place).membership)
         traffic_[size_t(place)].add(now_, bytes.size()), all_.add(now_, bytes.size());
       Host& reached = other ? seconds_[0] : hosts_[size_t(place)];
       if (reached.paused) {
@@ -186,12 +188,12 @@
 bool Gossip::checkClaim(Host& its, int of) {
   if (of < 0)
     return true;
-  const Claim& claim = its.core->claimOf(of);
-  Claim& held = its.held[size_t(of)];
+  const MemberStatus& claim = its.membership->statusOf(of);
+  MemberStatus& held = its.held[size_t(of)];
   if (claim < held)
     return breaks(its, "what it holds of n" + std::to_string(of) + " went back");
   held = claim;
-  const Life& most = host(of).highest;  // a figure has one writer: nobody else makes it greater
+  const ProcessInstance& most = host(of).highest;  // a figure has one writer: nobody else makes it greater
   if (claim.instance <= most.instance &&
       (claim.instance != most.instance || claim.incarnation <= most.incarnation))
     return true;
@@ -206,7 +208,7 @@
 void Gossip::check(Host& its) {
   if (!broken_.empty())
     return;
-  const Life& life = its.core->life();
+  const ProcessInstance& life = its.membership->instance();
   Host& named = host(its.member);
   if (life.instance > named.highest.instance)
     named.highest = life;
@@ -218,8 +220,8 @@
   for (size_t i = 0; i < std::min(kLooked, hosts_.size()); ++i, its.next = (its.next + 1) % hosts_.size())
     if (!checkClaim(its, int(its.next)))
       return;
-  const Claim& own = its.core->claimOf(its.member);
-  if (!its.core->aside() && own.state != State::alive && own.state != State::left)
+  const MemberStatus& own = its.membership->statusOf(its.member);
+  if (!its.membership->isDemoted() && own.state != MemberState::alive && own.state != MemberState::left)
     breaks(its, "it holds itself to be " + std::string(nameOf(own.state)));
 }
 
@@ -235,7 +237,7 @@
 bool Gossip::agreed() const {
   for (size_t i = 0, n = hosts_.size(); i < n; ++i, wrongHost_ = (wrongHost_ + 1) % n) {
     auto& its = hosts_[wrongHost_];
-    if (!its.core || its.paused || its.core->aside())
+    if (!its.membership || its.paused || its.membership->isDemoted())
       continue;
     for (size_t j = 0; j < n; ++j, wrongOf_ = (wrongOf_ + 1) % n)
       if (!held(its, int(wrongOf_)))
@@ -247,7 +249,7 @@
 double Gossip::heldWrongly() const {
   double pairs = 0, wrong = 0;
   for (auto& its : hosts_)
-    if (its.core && !its.paused && !its.core->aside())
+    if (its.membership && !its.paused && !its.membership->isDemoted())
       for (auto& other : hosts_)
         ++pairs, wrong += !held(its, other.member);
   return pairs > 0 ? wrong / pairs : 0;
--- a/src/lab/gossip.h
+++ b/src/lab/gossip.h
@@ -10,8 +10,8 @@
 
 #include "lab/events.h"
 #include "lab/traffic.h"
-#include "members/core.h"
-#include "members/wire.h"
+#include "members/membership.h"
+#include "members/message_codec.h"
 #include "pcg32.h"
 
 namespace elmcleat::lab {
@@ -23,8 +23,8 @@
 
 class Gossip {
  public:
-  Gossip(members::Plan plan, uint64_t seed);
-  static members::Plan plan(int count);
+  Gossip(members::MembershipSettings plan, uint64_t seed);
+  static members::MembershipSettings plan(int count);
 
   void start(int member, double clockOff = 0);  // a new life; its clock is off by so many seconds
   void startAll();
@@ -45,10 +45,12 @@
   double now() const { return now_; }
   Pcg32& chance() { return chance_; }
 
-  bool runs(int member) const { return bool(hosts_[size_t(member)].core) && !hosts_[size_t(member)].paused; }
-  const members::Core& core(int member) const { return *hosts_[size_t(member)].core; }
-  const members::Core* secondCore(int member) const {
-    return seconds_.empty() || seconds_[0].member != member ? nullptr : seconds_[0].core.get();
+  bool runs(int member) const {
+    return bool(hosts_[size_t(member)].membership) && !hosts_[size_t(member)].paused;
+  }
+  const members::Membership& core(int member) const { return *hosts_[size_t(member)].membership; }
+  const members::Membership* secondCore(int member) const {
+    return seconds_.empty() || seconds_[0].member != member ? nullptr : seconds_[0].membership.get();
   }
   // Whether all that run hold the same: there is who runs, and nobody else.
   bool agreed() const;
@@ -77,15 +79,15 @@
  private:
   struct Host {
     int member = 0;
-    std::unique_ptr<members::Core> core;
+    std::unique_ptr<members::Membership> membership;
     bool paused = false;
     double slow = 0;
-    uint64_t version = 0;              // of its next wake
-    std::vector<std::string> waiting;  // what came while it stood still
-    std::vector<members::Claim> held;  // what it held of each when that was last looked at
-    size_t next = 0;                   // of them, the first that is looked at in the next turn
-    int streams = 0;                   // on their way to and from it
-    members::Life highest;             // the greatest claim that it made of itself in any life
+    uint64_t version = 0;                     // of its next wake
+    std::vector<std::string> waiting;         // what came while it stood still
+    std::vector<members::MemberStatus> held;  // what it held of each when that was last looked at
+    size_t next = 0;                          // of them, the first that is looked at in the next turn
+    int streams = 0;                          // on their way to and from it
+    members::ProcessInstance highest;         // the greatest claim that it made of itself in any life
   };
 
   static int sum(const std::vector<int>& by, int one) {
@@ -100,12 +102,12 @@
     return false;
   }
   bool held(const Host& host, int other) const {  // rightly
-    return host.core->claimOf(other).there() == runs(other);
+    return host.membership->statusOf(other).isPresent() == runs(other);
   }
   Host& host(int member) { return hosts_[size_t(member)]; }
 
-  members::Plan plan_;
-  members::Wire wire_;
+  members::MembershipSettings settings_;
+  members::MessageCodec codec_;
   Pcg32 chance_;
   Events events_;
   double now_ = 0;
--- a/src/lab/members_scale.cpp
+++ b/src/lab/members_scale.cpp
@@ -73,7 +73,7 @@
   double wrong = 0;
   for (int a = 0; a < size; ++a)
     for (int b = 0; b < size; ++b)
-      wrong += fleet.core(a).claimOf(b).there() != (fleet.regionOf(a) == fleet.regionOf(b));
+      wrong += fleet.core(a).statusOf(b).isPresent() != (fleet.regionOf(a) == fleet.regionOf(b));
   return wrong / size / size;
 }
 
@@ -139,19 +139,20 @@
 
 double bytesOfCore(int size) {
   using namespace members;
-  Plan plan = Gossip::plan(size);
+  MembershipSettings plan = Gossip::plan(size);
   auto inUse = [] {
     auto info = ::mallinfo2();
     return double(info.uordblks + info.hblkhd);
   };
   double before = inUse();
-  Wire wire(plan);
-  Core core(plan, 0, {5, 1}, 1, 0);
+  MessageCodec wire(plan);
+  Membership membership(plan, 0, {5, 1}, 1, 0);
   Message message;
-  message.kind = Kind::rows, message.from = 1, message.to = 0, message.instance = 5, message.sequence = 1;
+  message.kind = MessageKind::syncResponse, message.from = 1, message.to = 0, message.instance = 5,
+  message.sequence = 1;
   for (int i = 1; i < size; ++i)
-    message.rows.push_back({i, {5, 1, State::alive}, kNobody});
-  core.hear(0, message), core.tick(1), core.out(), core.happened();
+    message.updates.push_back({i, {5, 1, MemberState::alive}, kNoMember});
+  membership.receive(0, message), membership.tick(1), membership.takeOutgoing(), membership.takeEvents();
   message = {};
   return inUse() - before;
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -10,7 +10,7 @@
 
 #include "config/config.h"
 #include "config/gateway.h"
-#include "control/control.h"
+#include "control/control_thread.h"
 #include "runtime/log.h"
 #include "runtime/scheduler.h"
 #include "serve/discovery.h"
@@ -80,13 +80,13 @@
   }
 }
 
-// What may be used here of shared rates, fifty times a second: a grant of ours waits for this look (Control::heeded).
-void heedShared(Control& control, Dispatcher& dispatcher, Timer& again, const Clock& clock) {
+// What may be used here of shared rates, fifty times a second: a grant of ours waits for this look (ControlThread::acknowledge).
+void heedShared(ControlThread& control, Dispatcher& dispatcher, Timer& again, const Clock& clock) {
   again.set(clock.now() + 0.02);
-  const Told* told = control.usable();
-  dispatcher.updateQuotas(told->usable, [&control, number = told->members.number](std::vector<double> wants) {
-    control.want(std::move(wants));
-    control.heeded(number);
+  const ControlSnapshot* told = control.latestQuotas();
+  dispatcher.updateQuotas(told->quotas, [&control, number = told->members.number](std::vector<double> wants) {
+    control.setDemand(std::move(wants));
+    control.acknowledge(number);
   });
 }
 
@@ -109,7 +109,7 @@
   Config config = readConfig();
   Log::filter(options.level.value_or(config.log));
   if (own.members && !config.peersAllowed)
-    throw members::Fault(members::Wrong::peersForbidden,
+    throw members::Error(members::ErrorKind::peersForbidden,
                          "settings.limits.peers is not true, so members can't be switched on",
                          "members in " + options.gateway);
   // The system may allow fewer than the platform has told us of: the smaller number is the one to keep to.
@@ -121,12 +121,12 @@
     local = seen->localSettings();
   Clock clock;
   Scheduler scheduler(clock);
-  std::unique_ptr<Control> control;
-  std::optional<Sharing> sharing;
+  std::unique_ptr<ControlThread> control;
+  std::optional<QuotaSharing> sharing;
   if (own.shared)
-    sharing = Sharing{*own.shared, budget::fleetRates(*own.budgets)};
+    sharing = QuotaSharing{*own.shared, budget::fleetRates(*own.budgets)};
   if (own.members)
-    control = std::make_unique<Control>(clock, *own.members, config.name, config.seed, sharing);
+    control = std::make_unique<ControlThread>(clock, *own.members, config.name, config.seed, sharing);
   Signal signal(scheduler);
   Descriptor signals(scheduler, heeded, signal);
   Dispatcher dispatcher(scheduler, config.settings, config.seed, own.budgets, local);
--- a/src/members/fault.cpp
+++ b/src/members/error.cpp
@@ -1,4 +1,4 @@
-#include "members/fault.h"
+#include "members/error.h"
 
 namespace elmcleat::members {
 namespace {
@@ -6,7 +6,7 @@
 struct Told {
   const char *name, *remedy;
 };
-constexpr std::array<Told, kWrongs> kTold = {{
+constexpr std::array<Told, kErrorKinds> kTold = {{
     {"peers-forbidden",
      "take the section out of the gateway file, or let the platform allow it with settings.limits.peers"},
     {"not-listed", "add this process's name and address to members.peers, in all processes"},
@@ -31,15 +31,15 @@
 
 }  // namespace
 
-const char* nameOf(Wrong errorKind) { return kTold[static_cast<size_t>(errorKind)].name; }
-const char* remedyOf(Wrong errorKind) { return kTold[static_cast<size_t>(errorKind)].remedy; }
+const char* nameOf(ErrorKind errorKind) { return kTold[static_cast<size_t>(errorKind)].name; }
+const char* remedyOf(ErrorKind errorKind) { return kTold[static_cast<size_t>(errorKind)].remedy; }
 
-std::string lineOf(Wrong errorKind, const std::string& what, const std::string& subject) {
+std::string describe(ErrorKind errorKind, const std::string& what, const std::string& subject) {
   return "members: " + std::string(nameOf(errorKind)) + ": " + subject + ": " + what + "; " +
          remedyOf(errorKind);
 }
 
-Fault::Fault(Wrong errorKind, const std::string& what, const std::string& whom)
-    : std::runtime_error(lineOf(errorKind, what, whom)), wrong(errorKind), subject(whom) {}
+Error::Error(ErrorKind errorKind, const std::string& what, const std::string& whom)
+    : std::runtime_error(describe(errorKind, what, whom)), kind(errorKind), subject(whom) {}
 
 }  // namespace elmcleat::members
--- a/src/members/claim.h
+++ b/src/members/member_status.h
@@ -3,7 +3,7 @@
 //
 // A member alone raises its own incarnation; the others say suspect, down or left of an incarnation, and it answers
 // with a greater one if it is there after all (refutation, as in SWIM). An instance is one life of a process: a
-// restart has a greater one, and makes sure of it (core.h).
+// restart has a greater one, and makes sure of it (membership.h).
 #pragma once
 #include <algorithm>
 #include <compare>
@@ -11,22 +11,22 @@
 
 namespace elmcleat::members {
 
-enum class State : uint8_t { alive, suspect, down, left };
-constexpr const char* nameOf(State state) {
+enum class MemberState : uint8_t { alive, suspect, down, left };
+constexpr const char* nameOf(MemberState state) {
   constexpr const char* names[] = {"alive", "suspect", "down", "left"};
   return names[static_cast<int>(state)];
 }
 
-struct Claim {
+struct MemberStatus {
   uint64_t instance = 0;  // 0: nothing was ever heard of the member
   uint64_t incarnation = 0;
-  State state = State::down;
-  auto operator<=>(const Claim&) const = default;
+  MemberState state = MemberState::down;
+  auto operator<=>(const MemberStatus&) const = default;
 
-  bool heard() const { return instance > 0; }
-  bool there() const { return heard() && state <= State::suspect; }
+  bool isKnown() const { return instance > 0; }
+  bool isPresent() const { return isKnown() && state <= MemberState::suspect; }
 };
 
-inline Claim joined(const Claim& a, const Claim& b) { return std::max(a, b); }
+inline MemberStatus mergedStatus(const MemberStatus& a, const MemberStatus& b) { return std::max(a, b); }
 
 }  // namespace elmcleat::members
--- a/src/members/shell.cpp
+++ b/src/members/transport.cpp
@@ -1,4 +1,4 @@
-#include "members/shell.h"
+#include "members/transport.h"
 
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -34,31 +34,33 @@
 
 }  // namespace
 
-Shell::Shell(Scheduler& scheduler, const Plan& plan, Member self, Core& core)
+Transport::Transport(Scheduler& scheduler, const MembershipSettings& settings, MemberIndex self,
+                     Membership& membership)
     : scheduler_(scheduler),
-      plan_(plan),
-      core_(core),
-      here_(plan.peers[size_t(self)].at.host),
-      wire_(plan),
+      settings_(settings),
+      membership_(membership),
+      here_(settings.peers[size_t(self)].address.host),
+      codec_(settings),
       signal_(scheduler),
       timer_(scheduler, [this] { signal_.raise(); }) {
   toldAt_.fill(-kTellAgain);
-  const Peer& me = plan.peers[size_t(self)];
+  const Peer& me = settings.peers[size_t(self)];
   try {
-    datagrams_ = std::make_unique<Descriptor>(scheduler, bound(me.at), signal_);
-    listener_ = std::make_unique<Descriptor>(scheduler, listenOn(me.at), signal_);
+    datagrams_ = std::make_unique<Descriptor>(scheduler, bound(me.address), signal_);
+    listener_ = std::make_unique<Descriptor>(scheduler, listenOn(me.address), signal_);
   } catch (const std::system_error& fault) {
-    throw Fault(Wrong::addressTaken, std::strerror(fault.code().value()), me.name + " at " + textOf(me.at));
+    throw Error(ErrorKind::addressInUse, std::strerror(fault.code().value()),
+                me.name + " at " + textOf(me.address));
   }
 }
 
-void Shell::start(std::function<double()> turned) {
+void Transport::start(std::function<double()> turned) {
   turned_ = std::move(turned);
   task_ = run();
   task_.start();
 }
 
-Task Shell::run() {
+Task Transport::run() {
   try {
     while (true) {
       readDatagrams();
@@ -67,10 +69,10 @@
         serve(**link);
         link = (*link)->stream.open() ? std::next(link) : links_.erase(link);
       }
-      core_.tick(scheduler_.now());
+      membership_.tick(scheduler_.now());
       send();
       double wanted = turned_();
-      timer_.set(std::min(core_.wakes(), wanted));
+      timer_.set(std::min(membership_.nextWakeUp(), wanted));
       co_await signal_;
     }
   } catch (...) {  // a fault here must end the control thread alone
@@ -80,7 +82,7 @@
 }
 
 // --- what comes
-void Shell::readDatagrams() {
+void Transport::readDatagrams() {
   static thread_local char bytes[kLargest];
   for (size_t count = 0; datagrams_->news(); ++count) {
     if (count == kMostRead)
@@ -90,14 +92,14 @@
     ssize_t got =
         ::recvfrom(datagrams_->fd(), bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (got >= 0)
-      heard({bytes, size_t(got)}, ntohl(from.sin_addr.s_addr), ntohs(from.sin_port));
+      receive({bytes, size_t(got)}, ntohl(from.sin_addr.s_addr), ntohs(from.sin_port));
     else if (errno == EAGAIN)
       datagrams_->readAll();
     // Any other fault is what became of a datagram of ours (nobody listens there), and taken off the socket by this.
   }
 }
 
-void Shell::acceptStreams() {
+void Transport::acceptStreams() {
   while (links_.size() < kMostLinks) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
@@ -105,7 +107,7 @@
         ::accept4(listener_->fd(), reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0)
       return;
-    auto& link = *links_.emplace_back(std::make_unique<Link>(scheduler_, signal_));
+    auto& link = *links_.emplace_back(std::make_unique<MessageStream>(scheduler_, signal_));
     link.host = ntohl(from.sin_addr.s_addr);
     link.late.set(scheduler_.now() + kLinkTime);
     link.stream.adopt(fd);
@@ -113,7 +115,7 @@
 }
 
 // One message a stream: its length in 4 bytes, big-endian, then its bytes, then the end.
-void Shell::serve(Link& link) {
+void Transport::serve(MessageStream& link) {
   if (link.ours) {
     if (!link.stream.connected())
       return;
@@ -129,58 +131,61 @@
     size_t length = 0;
     for (size_t i = 0; i < 4; ++i)
       length = length << 8 | static_cast<unsigned char>(in[i]);
-    if (length > kMostBytes) {
-      wrong(Wrong::tooLarge, textOf({link.host, 0}), "a stream announces more than a message may have");
+    if (length > kMaxMessageBytes) {
+      reportError(ErrorKind::tooLarge, textOf({link.host, 0}),
+                  "a stream announces more than a message may have");
       return link.stream.end(CloseReason::overfull);
     }
     if (in.size() >= 4 + length) {
-      heard(std::string_view(in).substr(4, length), link.host, 0);
+      receive(std::string_view(in).substr(4, length), link.host, 0);
       return link.stream.end(CloseReason::idle);
     }
   }
   if (!open && !in.empty())
-    wrong(Wrong::undecodable, textOf({link.host, 0}), "a stream ended within a message");
+    reportError(ErrorKind::undecodable, textOf({link.host, 0}), "a stream ended within a message");
 }
 
 // A datagram comes from the very address of the member that it names; a stream from its host.
-void Shell::heard(std::string_view bytes, uint32_t host, uint16_t port) {
-  auto read = wire_.read(bytes);
+void Transport::receive(std::string_view bytes, uint32_t host, uint16_t port) {
+  auto read = codec_.decode(bytes);
   std::string from = textOf({host, port});
-  if (auto* kind = std::get_if<Wrong>(&read))
-    return wrong(*kind, from, "a message was dropped");
+  if (auto* kind = std::get_if<ErrorKind>(&read))
+    return reportError(*kind, from, "a message was dropped");
   auto& message = std::get<Message>(read);
-  const Address& at = plan_.peers[size_t(message.from)].at;
+  const Address& at = settings_.peers[size_t(message.from)].address;
   if (at.host != host || (port != 0 && at.port != port))
-    return wrong(Wrong::stranger, from, "a message came in the name of another address's member");
-  core_.hear(scheduler_.now(), message);
+    return reportError(ErrorKind::unknownSender, from,
+                       "a message came in the name of another address's member");
+  membership_.receive(scheduler_.now(), message);
 }
 
-void Shell::wrong(Wrong kind, const std::string& from, const char* what) {
-  core_.wrong(kind);
+void Transport::reportError(ErrorKind kind, const std::string& from, const char* what) {
+  membership_.countError(kind);
   double now = scheduler_.now();
   if (now < toldAt_[size_t(kind)] + kTellAgain)
     return;
   toldAt_[size_t(kind)] = now;
-  warn() << lineOf(kind, what, from);
+  warn() << describe(kind, what, from);
 }
 
 // --- what goes
-void Shell::send() {
-  for (auto& message : core_.out()) {
-    const Address& to = plan_.peers[size_t(message.to)].at;
-    std::string bytes = wire_.write(message);
+void Transport::send() {
+  for (auto& message : membership_.takeOutgoing()) {
+    const Address& to = settings_.peers[size_t(message.to)].address;
+    std::string bytes = codec_.encode(message);
     if (bytes.size() <=
-        Core::kDatagram) {  // lost ones are the protocol's matter: nothing is told of a fault here
+        Membership::
+            kMaxDatagramBytes) {  // lost ones are the protocol's matter: nothing is told of a fault here
       sockaddr_in native = nativeOf(to);
       (void)!::sendto(datagrams_->fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL,
                       reinterpret_cast<sockaddr*>(&native), sizeof native);
       continue;
     }
-    if (links_.size() >= kMostLinks || bytes.size() > kMostBytes) {
-      core_.wrong(Wrong::tooLarge);
+    if (links_.size() >= kMostLinks || bytes.size() > kMaxMessageBytes) {
+      membership_.countError(ErrorKind::tooLarge);
       continue;
     }
-    auto& link = *links_.emplace_back(std::make_unique<Link>(scheduler_, signal_));
+    auto& link = *links_.emplace_back(std::make_unique<MessageStream>(scheduler_, signal_));
     link.ours = true;
     for (int shift = 24; shift >= 0; shift -= 8)
       link.out += char(bytes.size() >> shift & 0xff);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -25,7 +25,7 @@
   auto config = readGateway(std::string(EXAMPLES) + "gateway.members.example.json");
   REQUIRE((config.members && config.budgets && config.shared));
   CHECK_EQ(config.members->peers[2].name, "n3");
-  CHECK_EQ(textOf(config.members->peers[2].at), "10.0.0.6:4300");
+  CHECK_EQ(textOf(config.members->peers[2].address), "10.0.0.6:4300");
   CHECK_EQ(config.shared->memberCount, 3);
   CHECK((config.shared->quotas == std::vector<double>{16, 8, 20}));
   auto rates = budget::fleetRates(*config.budgets);
--- a/tests/fleet/members_test.cpp
+++ b/tests/fleet/members_test.cpp
@@ -22,8 +22,8 @@
     for (auto& service : services)
       service->ready();
   }
-  static Plan planOf(int count) {
-    Plan plan;
+  static MembershipSettings planOf(int count) {
+    MembershipSettings plan;
     plan.fleet = "test";
     for (int i = 0; i < count; ++i)
       plan.peers.push_back({"n" + std::to_string(i), {}});
@@ -35,20 +35,20 @@
   }
   Service& at(int member) { return *services[size_t(member)]; }
   // What `who` holds of `whom`, by the record since its start.
-  Claim held(int who, int whom) {
-    Claim most;
+  MemberStatus held(int who, int whom) {
+    MemberStatus most;
     for (auto& [time, from, to, delivered, bytes] : relay.passed()) {
       if (time < starts[size_t(who)] || (from != who && (to != who || !delivered)))
         continue;
-      auto read = wire.read(bytes);
+      auto read = wire.decode(bytes);
       auto* message = std::get_if<Message>(&read);
       if (!message)
         continue;
       if (from == whom)
-        most = joined(most, {message->instance, message->incarnation, State::alive});
-      for (auto& row : message->rows)
+        most = mergedStatus(most, {message->instance, message->incarnation, MemberState::alive});
+      for (auto& row : message->updates)
         if (row.member == whom)
-          most = joined(most, row.claim);
+          most = mergedStatus(most, row.status);
     }
     return most;
   }
@@ -58,7 +58,7 @@
       bool all = true;
       for (int a : who)
         for (int b : whom)
-          all = all && (a == b || held(a, b).there() == there);
+          all = all && (a == b || held(a, b).isPresent() == there);
       if (all)
         return true;
     }
@@ -67,19 +67,19 @@
   // How often `who` has called `whom` down as its own finding, before anybody told it.
   int calledDown(int who, const std::vector<int>& whom) {
     int times = 0;
-    std::map<int, Claim> heard;
+    std::map<int, MemberStatus> heard;
     for (auto& [time, from, to, delivered, bytes] : relay.passed()) {
-      auto read = wire.read(bytes);
+      auto read = wire.decode(bytes);
       auto* message = std::get_if<Message>(&read);
       if (!message)
         continue;
-      for (auto& row : message->rows) {
+      for (auto& row : message->updates) {
         if (to == who && delivered)
-          heard[row.member] = joined(heard[row.member], row.claim);
-        bool news = from == who && row.claim.state == State::down && row.claim > heard[row.member];
+          heard[row.member] = mergedStatus(heard[row.member], row.status);
+        bool news = from == who && row.status.state == MemberState::down && row.status > heard[row.member];
         times += news && std::ranges::find(whom, row.member) != whom.end();
         if (from == who)
-          heard[row.member] = joined(heard[row.member], row.claim);
+          heard[row.member] = mergedStatus(heard[row.member], row.status);
       }
     }
     return times;
@@ -93,7 +93,7 @@
 
   Engines engines;
   Relay relay;
-  Wire wire;
+  MessageCodec wire;
   std::vector<std::unique_ptr<Service>> services;
   std::vector<double> starts;
   int commands = 0;
@@ -125,7 +125,7 @@
     CHECK_EQ(team.at(i).status(), 0);
     int other = (i + 1) % 4;
     CHECK(team.holds({other}, {i}, false));
-    CHECK_EQ(team.held(other, i).state, State::left);
+    CHECK_EQ(team.held(other, i).state, MemberState::left);
     team.serves(other);
     team.start(i), team.at(i).ready();
     CHECK(team.holds({0, 1, 2, 3}, {0, 1, 2, 3}, true));
--- a/tests/fleet/relay.h
+++ b/tests/fleet/relay.h
@@ -7,7 +7,7 @@
 #include <mutex>
 #include <random>
 
-#include "members/wire.h"
+#include "members/message_codec.h"
 #include "service.h"
 
 namespace {
--- a/tests/fuzz/members_fuzz.cpp
+++ b/tests/fuzz/members_fuzz.cpp
@@ -35,13 +35,13 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
-  static const Plan plan = lab::Gossip::plan(8);
-  static const Wire wire(plan);
+  static const MembershipSettings plan = lab::Gossip::plan(8);
+  static const MessageCodec wire(plan);
   std::string in(reinterpret_cast<const char*>(data), size);
   if (in.size() < 3)
     return 0;
   double now = 0, step = static_cast<unsigned char>(in[0]) / 32.0;
-  Core core(plan, 0, {5, 1}, 1, now);
+  Membership membership(plan, 0, {5, 1}, 1, now);
   shared::LeaseSettings terms;
   terms.memberCount = 8, terms.quotas = {80, 8};
   const shared::LeaseCodec letters({"a", "b"}, terms.quotas);
@@ -51,28 +51,28 @@
     size_t length = size_t(static_cast<unsigned char>(in[at])) << 8 | static_cast<unsigned char>(in[at + 1]);
     std::string bytes = sealed(in.substr(at + 2, length));
     at += 2 + length;
-    auto read = wire.read(bytes);
+    auto read = wire.decode(bytes);
     if (auto* message = std::get_if<Message>(&read)) {
       must(message->from >= 0 && message->to >= 0, "a message without its two ends was passed on");
-      for (auto& row : message->rows)
+      for (auto& row : message->updates)
         must(row.member >= 0 && row.member < 8, "a row names nobody");
-      must(std::holds_alternative<Message>(wire.read(wire.write(*message))),
+      must(std::holds_alternative<Message>(wire.decode(wire.encode(*message))),
            "what was read can't be written and read");
-      core.hear(now, *message);
+      membership.receive(now, *message);
     }
-    core.tick(now);
-    for (auto& message : core.out())
-      must(wire.write(message).size() <= kMostBytes, "too large a message");
-    const Claim& own = core.claimOf(0);
-    must(core.aside() || own.state == State::alive, "it was talked into its own end");
-    must(core.life().incarnation < (uint64_t{1} << 62) + 1000, "numbers ran away");
+    membership.tick(now);
+    for (auto& message : membership.takeOutgoing())
+      must(wire.encode(message).size() <= kMaxMessageBytes, "too large a message");
+    const MemberStatus& own = membership.statusOf(0);
+    must(membership.isDemoted() || own.state == MemberState::alive, "it was talked into its own end");
+    must(membership.instance().incarnation < (uint64_t{1} << 62) + 1000, "numbers ran away");
     if (auto letter = letters.decode(in.substr(at - length, length), 1 + int(length % 7), 0))
       loans.receive(now, *letter);
     loans.tick(now), loans.takeOutgoing();
     for (size_t i = 0; i < 2; ++i)  // no more than all own, and no less than nothing
       must(loans.available(i, now) >= 0 && loans.available(i, now) <= terms.quotas[i] * 1.0000001,
            "loans out of all bounds");
-    must(core.wakes() >= 0, "it wants to be woken in the past");
+    must(membership.nextWakeUp() >= 0, "it wants to be woken in the past");
   }
   return 0;
 }
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 
 #include "lab/gossip.h"
-#include "members/plan.h"
+#include "members/membership_settings.h"
 #include "seeds.h"
 #include "wire.pb.h"
 
@@ -18,15 +18,17 @@
 
 namespace {
 
-rc::Gen<Claim> claims() {
-  return rc::gen::map(rc::gen::tuple(rc::gen::inRange<uint64_t>(1, 4), rc::gen::inRange<uint64_t>(0, 4),
-                                     rc::gen::inRange(0, 4)),
-                      [](auto parts) {
-                        return Claim{std::get<0>(parts), std::get<1>(parts), State(std::get<2>(parts))};
-                      });
+rc::Gen<MemberStatus> claims() {
+  return rc::gen::map(
+      rc::gen::tuple(rc::gen::inRange<uint64_t>(1, 4), rc::gen::inRange<uint64_t>(0, 4),
+                     rc::gen::inRange(0, 4)),
+      [](auto parts) {
+        return MemberStatus{std::get<0>(parts), std::get<1>(parts), MemberState(std::get<2>(parts))};
+      });
 }
 
-Message from(Member who, Member to, uint64_t sequence, Kind kind = Kind::news, uint64_t instance = 10) {
+Message from(MemberIndex who, MemberIndex to, uint64_t sequence, MessageKind kind = MessageKind::gossip,
+             uint64_t instance = 10) {
   Message message;
   message.kind = kind, message.from = who, message.to = to, message.sequence = sequence;
   message.instance = instance, message.incarnation = 1;
@@ -46,17 +48,17 @@
 
 TEST_CASE("claims: merging is a join, whatever the order and however often") {
   CHECK(rc::check([] {
-    Claim a = *claims(), b = *claims(), c = *claims();
-    RC_ASSERT(joined(a, b) == joined(b, a));
-    RC_ASSERT(joined(a, joined(b, c)) == joined(joined(a, b), c));
-    RC_ASSERT(joined(a, a) == a);
+    MemberStatus a = *claims(), b = *claims(), c = *claims();
+    RC_ASSERT(mergedStatus(a, b) == mergedStatus(b, a));
+    RC_ASSERT(mergedStatus(a, mergedStatus(b, c)) == mergedStatus(mergedStatus(a, b), c));
+    RC_ASSERT(mergedStatus(a, a) == a);
   }));
 }
 
 TEST_CASE("cores that have heard the same rows hold the same, in any order and with copies") {
   CHECK(rc::check([] {
     auto plan = Gossip::plan(6);
-    auto rows = *rc::gen::container<std::vector<std::pair<int, Claim>>>(
+    auto rows = *rc::gen::container<std::vector<std::pair<int, MemberStatus>>>(
         rc::gen::pair(rc::gen::inRange(2, 6), claims()));
     auto shuffled = rows;
     for (size_t i = 0; i < rows.size(); ++i) {
@@ -65,52 +67,55 @@
         shuffled.push_back(shuffled[i]);
     }
     auto digestAfter = [&](const auto& given) {
-      Core core(plan, 0, {5, 1}, 1, 0);
+      Membership membership(plan, 0, {5, 1}, 1, 0);
       uint64_t sequence = 0;
       for (auto& [member, claim] : given) {
         Message message = from(1, 0, ++sequence);
-        message.rows.push_back({member, claim});
-        core.hear(0, message);
+        message.updates.push_back({member, claim});
+        membership.receive(0, message);
       }
-      return core.view(0).digest;
+      return membership.snapshot(0).digest;
     };
     RC_ASSERT(digestAfter(rows) == digestAfter(shuffled));
   }));
 }
 
 TEST_CASE("the wire: what was written is read; what is damaged, foreign or too new is told and not used") {
-  Plan plan = Gossip::plan(4);
-  Wire wire(plan);
-  Message message = from(1, 2, 7, Kind::ack);
+  MembershipSettings plan = Gossip::plan(4);
+  MessageCodec wire(plan);
+  Message message = from(1, 2, 7, MessageKind::ack);
   message.probe = 9, message.subject = 3, message.digest = 1234567;
-  message.rows = {{3, {5, 6, State::suspect}, 1}, {0, {8, 1, State::left}}};
-  message.sums = {1, 2, 3}, message.parcel = std::string("\0x", 2);
-  std::string bytes = wire.write(message);
-  auto back = std::get<Message>(wire.read(bytes));
-  CHECK_EQ(back.rows.size(), 2);
-  CHECK((back.rows[0].claim == message.rows[0].claim && back.rows[0].by == 1 && back.rows[1].by == kNobody));
-  CHECK_EQ(back.parcel, message.parcel);
-  CHECK((back.kind == Kind::ack && back.from == 1 && back.to == 2 && back.sequence == 7 && back.probe == 9));
-  CHECK((back.subject == 3 && back.digest == 1234567 && back.sums == message.sums && back.instance == 10));
+  message.updates = {{3, {5, 6, MemberState::suspect}, 1}, {0, {8, 1, MemberState::left}}};
+  message.bucketDigests = {1, 2, 3}, message.payload = std::string("\0x", 2);
+  std::string bytes = wire.encode(message);
+  auto back = std::get<Message>(wire.decode(bytes));
+  CHECK_EQ(back.updates.size(), 2);
+  CHECK((back.updates[0].status == message.updates[0].status && back.updates[0].suspectedBy == 1 &&
+         back.updates[1].suspectedBy == kNoMember));
+  CHECK_EQ(back.payload, message.payload);
+  CHECK((back.kind == MessageKind::ack && back.from == 1 && back.to == 2 && back.sequence == 7 &&
+         back.probe == 9));
+  CHECK((back.subject == 3 && back.digest == 1234567 && back.bucketDigests == message.bucketDigests &&
+         back.instance == 10));
 
-  auto wrongOf = [&](const Wire& reader, const std::string& what) {
-    auto read = reader.read(what);
-    return std::holds_alternative<Wrong>(read) ? std::optional(std::get<Wrong>(read)) : std::nullopt;
+  auto wrongOf = [&](const MessageCodec& reader, const std::string& what) {
+    auto read = reader.decode(what);
+    return std::holds_alternative<ErrorKind>(read) ? std::optional(std::get<ErrorKind>(read)) : std::nullopt;
   };
   for (size_t i = 0; i < bytes.size() * 8; ++i) {  // each single bit
     std::string damaged = bytes;
     damaged[i / 8] = char(damaged[i / 8] ^ 1 << i % 8);
-    CHECK_EQ(wrongOf(wire, damaged), Wrong::undecodable);
+    CHECK_EQ(wrongOf(wire, damaged), ErrorKind::undecodable);
   }
   for (size_t i = 0; i < bytes.size(); ++i)
-    CHECK_EQ(wrongOf(wire, bytes.substr(0, i)), Wrong::undecodable);
-  CHECK_EQ(wrongOf(wire, std::string(kMostBytes + 1, 'x')), Wrong::tooLarge);
-  Plan other = plan;
+    CHECK_EQ(wrongOf(wire, bytes.substr(0, i)), ErrorKind::undecodable);
+  CHECK_EQ(wrongOf(wire, std::string(kMaxMessageBytes + 1, 'x')), ErrorKind::tooLarge);
+  MembershipSettings other = plan;
   other.fleet = "another";
-  CHECK_EQ(wrongOf(Wire(other), bytes), Wrong::otherFleet);
-  Plan fewer = plan;
+  CHECK_EQ(wrongOf(MessageCodec(other), bytes), ErrorKind::fleetMismatch);
+  MembershipSettings fewer = plan;
   std::swap(fewer.peers[1], fewer.peers[3]), fewer.peers.pop_back();  // n1 is not listed there
-  CHECK_EQ(wrongOf(Wire(fewer), bytes), Wrong::stranger);
+  CHECK_EQ(wrongOf(MessageCodec(fewer), bytes), ErrorKind::unknownSender);
 
   // Another version's: unknown fields and unknown members are skipped, what it forbids to be read is not.
   auto sealed =
@@ -128,29 +133,30 @@
   envelope.set_version(9);
   std::string body =
       envelope.SerializeAsString() + "\xfa\x7f\x03odd";  // a field that nobody knows, of length 3
-  CHECK_EQ(std::get<Message>(wire.read(sealed(body))).rows.size(), 2);
+  CHECK_EQ(std::get<Message>(wire.decode(sealed(body))).updates.size(), 2);
   envelope.set_reads(2);
-  CHECK_EQ(wrongOf(wire, sealed(envelope.SerializeAsString())), Wrong::tooNew);
+  CHECK_EQ(wrongOf(wire, sealed(envelope.SerializeAsString())), ErrorKind::unsupportedVersion);
   envelope.set_reads(1),
       envelope.mutable_rows(0)->set_incarnation(~uint64_t{0});  // nothing could outbid that
-  CHECK_EQ(wrongOf(wire, sealed(envelope.SerializeAsString())), Wrong::undecodable);
+  CHECK_EQ(wrongOf(wire, sealed(envelope.SerializeAsString())), ErrorKind::undecodable);
 }
 
 TEST_CASE("a message that came before, or is older than all that is remembered, is counted and not heard") {
-  Core core(Gossip::plan(3), 0, {5, 1}, 1, 0);
-  auto replays = [&] { return core.view(0).wrong[size_t(Wrong::replayed)]; };
+  Membership membership(Gossip::plan(3), 0, {5, 1}, 1, 0);
+  auto replays = [&] { return membership.snapshot(0).errorCounts[size_t(ErrorKind::replayed)]; };
   for (uint64_t sequence : {1, 3, 2, 200, 150})
-    core.hear(0, from(1, 0, sequence));
+    membership.receive(0, from(1, 0, sequence));
   CHECK_EQ(replays(), 0);
   for (uint64_t sequence : {3, 200, 150, 100})
-    core.hear(0, from(1, 0, sequence));
+    membership.receive(0, from(1, 0, sequence));
   CHECK_EQ(replays(), 4);
-  core.hear(0, from(1, 0, 1, Kind::news, 11));  // another life counts anew; its earlier one is over
+  membership.receive(
+      0, from(1, 0, 1, MessageKind::gossip, 11));  // another life counts anew; its earlier one is over
   CHECK_EQ(replays(), 4);
-  core.hear(0, from(1, 0, 300, Kind::news, 10));
+  membership.receive(0, from(1, 0, 300, MessageKind::gossip, 10));
   CHECK_EQ(replays(), 5);
-  core.hear(0, from(1, 2, 5, Kind::news, 11));
-  CHECK_EQ(core.view(0).wrong[size_t(Wrong::misdirected)], 1);
+  membership.receive(0, from(1, 2, 5, MessageKind::gossip, 11));
+  CHECK_EQ(membership.snapshot(0).errorCounts[size_t(ErrorKind::misdirected)], 1);
 }
 
 TEST_CASE("who dies is known to be down to all, who comes back to be there; who leaves is not suspected") {
@@ -164,7 +170,7 @@
     fleet.leave(2);
     double took = fleet.untilAgreed(3);
     CHECK((took >= 0 && took < 1));  // sooner than any suspicion ends
-    CHECK_EQ(fleet.core(0).claimOf(2).state, State::left);
+    CHECK_EQ(fleet.core(0).statusOf(2).state, MemberState::left);
     CHECK_EQ(fleet.downs(), 0);
     fleet.sound();
   }
@@ -195,7 +201,7 @@
   fleet.part(third);
   fleet.run(fleet.now() + 30);
   for (int i = 0; i < 60; ++i)
-    CHECK_EQ(fleet.core(i).view(fleet.now()).there, i < 20 ? 20 : 40);
+    CHECK_EQ(fleet.core(i).snapshot(fleet.now()).presentMembers, i < 20 ? 20 : 40);
   fleet.part(third, false);
   double took = fleet.untilAgreed(3);
   CHECK(took > 0);
@@ -205,19 +211,20 @@
 TEST_CASE("a process that stood still blames nobody when it goes on, and is there again at once") {
   Together fleet(12, 13);
   fleet.kill(7);
-  while (fleet.core(4).claimOf(7).state != State::suspect)
+  while (fleet.core(4).statusOf(7).state != MemberState::suspect)
     fleet.run(fleet.now() + 0.01);
   fleet.pause(4), fleet.start(7);  // its suspicion would have ended long before it goes on
   fleet.run(fleet.now() + 10);
   CHECK(fleet.agreed());  // it is down to all
-  double promised = fleet.core(4).view(fleet.now()).promisesFrom;
+  double promised = fleet.core(4).snapshot(fleet.now()).promisesAllowedFrom;
   fleet.reset();
   fleet.resume(4);
   CHECK(fleet.untilAgreed(3) > 0);
   fleet.run(fleet.now() + 5);
   CHECK_EQ(fleet.downs(4), 0);  // seen from it: it was us who did not answer
   CHECK_EQ(fleet.suspicions(4), 0);
-  CHECK(fleet.core(4).view(fleet.now()).promisesFrom > promised + 10);  // nothing is promised meanwhile
+  CHECK(fleet.core(4).snapshot(fleet.now()).promisesAllowedFrom >
+        promised + 10);  // nothing is promised meanwhile
   fleet.sound();
 }
 
@@ -238,16 +245,16 @@
   fleet.run(fleet.now() + 0.3);  // nobody has noticed yet
   fleet.start(2, -3600);
   CHECK(fleet.untilAgreed(5) > 0);
-  CHECK_FALSE(fleet.core(2).aside());
+  CHECK_FALSE(fleet.core(2).isDemoted());
   fleet.leave(3);  // whoever left is asked no more
   fleet.run(fleet.now() + 5);
   fleet.start(3, -3600);
   CHECK(fleet.untilAgreed(2) > 0);
   fleet.second(5);
   fleet.run(fleet.now() + 30);
-  CHECK_NE(fleet.core(5).aside(), fleet.secondCore(5)->aside());
-  const Core& other = fleet.core(5).aside() ? fleet.core(5) : *fleet.secondCore(5);
-  CHECK(other.view(0).wrong[size_t(Wrong::twoUnderOneName)] > 0);
+  CHECK_NE(fleet.core(5).isDemoted(), fleet.secondCore(5)->isDemoted());
+  const Membership& other = fleet.core(5).isDemoted() ? fleet.core(5) : *fleet.secondCore(5);
+  CHECK(other.snapshot(0).errorCounts[size_t(ErrorKind::duplicateName)] > 0);
   fleet.sound();
 }
 
@@ -267,10 +274,10 @@
 }
 
 TEST_CASE("who starts promises nothing until whatever an earlier life promised is over") {
-  Plan plan = Gossip::plan(3);
-  plan.longestPromise = 20;
-  Core core(plan, 0, {5, 1}, 1, 100);
-  CHECK(core.view(100).promisesFrom >= 120);
+  MembershipSettings plan = Gossip::plan(3);
+  plan.maxPromiseDuration = 20;
+  Membership membership(plan, 0, {5, 1}, 1, 100);
+  CHECK(membership.snapshot(100).promisesAllowedFrom >= 120);
 }
 
 TEST_CASE("random faults: what must hold does at every step, and all agree when the faults are over") {
@@ -339,9 +346,9 @@
 TEST_CASE("every fault has its line in the on-call page, with what an operator can do") {
   std::stringstream page;
   page << std::ifstream(ON_CALL).rdbuf();
-  for (size_t i = 0; i < kWrongs; ++i) {
-    std::string row = "| `" + std::string(nameOf(Wrong(i))) + "` |";
+  for (size_t i = 0; i < kErrorKinds; ++i) {
+    std::string row = "| `" + std::string(nameOf(ErrorKind(i))) + "` |";
     CHECK_MESSAGE(page.str().find(row) != std::string::npos, row);
-    CHECK(std::string(remedyOf(Wrong(i))).size() > 20);
+    CHECK(std::string(remedyOf(ErrorKind(i))).size() > 20);
   }
 }
--- a/tests/threads_test.cpp
+++ b/tests/threads_test.cpp
@@ -5,7 +5,7 @@
 #include <atomic>
 #include <thread>
 
-#include "control/control.h"
+#include "control/control_thread.h"
 #include "runtime/log.h"
 #include "service.h"
 
@@ -42,12 +42,12 @@
   Clock clock;
   sockaddr_in one = Listener().address, two = Listener().address;
   auto own = [](const sockaddr_in& at) { return Address{ntohl(at.sin_addr.s_addr), ntohs(at.sin_port)}; };
-  members::Plan plan;
+  members::MembershipSettings plan;
   plan.fleet = "threads", plan.peers = {{"n0", own(one)}, {"n1", own(two)}};
-  Control first(clock, plan, "n0", 1), second(clock, plan, "n1", 2);
-  auto there = [&](Control& control) {
-    const Told* told = control.latest(clock.now());
-    return told ? told->members.there : 0;
+  ControlThread first(clock, plan, "n0", 1), second(clock, plan, "n1", 2);
+  auto there = [&](ControlThread& control) {
+    const ControlSnapshot* told = control.latest(clock.now());
+    return told ? told->members.presentMembers : 0;
   };
   auto until = [&](size_t wanted) {
     for (double end = now() + 8; now() < end; pause(0.01)) {
@@ -59,10 +59,10 @@
   };
   CHECK(until(2));
   CHECK(second.stop());
-  CHECK(until(1));                                                 // it said goodbye
-  CHECK_THROWS_AS(Control(clock, plan, "n2", 3), members::Fault);  // no such name
-  CHECK_THROWS_AS(Control(clock, plan, "n0", 3), members::Fault);  // taken
-  CHECK_EQ(first.latest(clock.now() + 60), nullptr);               // too old to act on
+  CHECK(until(1));                                                       // it said goodbye
+  CHECK_THROWS_AS(ControlThread(clock, plan, "n2", 3), members::Error);  // no such name
+  CHECK_THROWS_AS(ControlThread(clock, plan, "n0", 3), members::Error);  // taken
+  CHECK_EQ(first.latest(clock.now() + 60), nullptr);                     // too old to act on
   CHECK_NE(first.latest(clock.now()), nullptr);
   CHECK(first.stop());
 }
@@ -70,20 +70,20 @@
 TEST_CASE("a rate goes by loans from one control thread to the other, once the lender's traffic heeds it") {
   Clock clock;
   sockaddr_in one = Listener().address, two = Listener().address;
-  members::Plan plan;
+  members::MembershipSettings plan;
   plan.fleet = "threads";
   for (auto& at : {one, two})
     plan.peers.push_back(
         {"n" + std::to_string(plan.peers.size()), {ntohl(at.sin_addr.s_addr), ntohs(at.sin_port)}});
-  Sharing sharing;
-  sharing.terms.memberCount = 2, sharing.terms.quotas = {10}, sharing.rates = {{"a", false, 10}};
-  Control borrower(clock, plan, "n0", 1, sharing), lender(clock, plan, "n1", 2, sharing);
-  auto look = [&](Control& control, double want, bool heeds) {  // as a traffic thread does
-    const Told* told = control.usable();
-    control.want({want});
+  QuotaSharing sharing;
+  sharing.settings.memberCount = 2, sharing.settings.quotas = {10}, sharing.rates = {{"a", false, 10}};
+  ControlThread borrower(clock, plan, "n0", 1, sharing), lender(clock, plan, "n1", 2, sharing);
+  auto look = [&](ControlThread& control, double want, bool heeds) {  // as a traffic thread does
+    const ControlSnapshot* told = control.latestQuotas();
+    control.setDemand({want});
     if (heeds)
-      control.heeded(told->members.number);
-    return told->usable[0].availableAt(clock.now());
+      control.acknowledge(told->members.number);
+    return told->quotas[0].availableAt(clock.now());
   };
   double most = 0;
   for (double end = now() + 4; now() < end; pause(0.005)) {
