--- a/bench/engines_bench.cpp
+++ b/bench/engines_bench.cpp
@@ -58,10 +58,10 @@
   set.gatewayCount = 2400, set.ordinal = 7, set.maxSends = 3, set.coldCapacity = 0.4, set.coldDuration = 10;
   set.coldOverloadFactor = 2, set.coldOverloadWindow = 1, set.probingSupported = true;
   long before = residentKb();
-  ListEvent whole{1, true, std::vector<Listing>(engines)};
+  EngineListEvent whole{1, true, std::vector<ListedEngine>(engines)};
   for (uint32_t i = 0; i < engines; ++i) {
-    whole.rows[i].row = {i + 1, "a", "eight", 0, EngineState::inService, {}};
-    whole.rows[i].address = {0x0a000001 + i, 4100};
+    whole.engines[i].record = {i + 1, "a", "eight", 0, EngineState::inService, {}};
+    whole.engines[i].address = {0x0a000001 + i, 4100};
   }
   std::optional<view::EngineSubset> seen;
   if (plan)
@@ -69,10 +69,10 @@
   std::vector<EngineRecord> rows;
   if (seen)
     for (auto& listing : seen->apply(whole, 0))
-      rows.push_back(listing.row);
+      rows.push_back(listing.record);
   else
-    for (auto& listing : whole.rows)
-      rows.push_back(listing.row);
+    for (auto& listing : whole.engines)
+      rows.push_back(listing.record);
   Sink sink;
   auto policy = createPolicy(seen ? seen->localSettings() : set, 7, sink);
   double now = 0;
--- a/bench/view_bench.cpp
+++ b/bench/view_bench.cpp
@@ -282,12 +282,12 @@
   set.gatewayCount = dispatchers, set.ordinal = dispatchers / 3, set.coldDuration = 30;
   set.profiles.resize(3);
   set.profiles[1].allowedZones = {"z3"}, set.profiles[2].allowedKinds = {"k2"};
-  ListEvent list{1, true, {}};
+  EngineListEvent list{1, true, {}};
   for (uint32_t i = 0; i < engines; ++i) {
-    Listing& one = list.rows.emplace_back();
-    one.row.id = 1000 + 2 * i, one.address = {0x7f000000 + i, 4200};
-    one.row.zone = std::string("z").append(std::to_string(i % 16)),
-    one.row.kind = std::string("k").append(std::to_string(i / 16 % 8 ? i % 2 : 2));
+    ListedEngine& one = list.engines.emplace_back();
+    one.record.id = 1000 + 2 * i, one.address = {0x7f000000 + i, 4200};
+    one.record.zone = std::string("z").append(std::to_string(i % 16)),
+    one.record.kind = std::string("k").append(std::to_string(i / 16 % 8 ? i % 2 : 2));
   }
   double now = 1e9;
   SubsetSettings plan;
@@ -301,7 +301,7 @@
   EngineSubset view(plan, set);
   Ids near;
   for (auto& change : view.apply(list, now))
-    near.push_back(change.row.id);
+    near.push_back(change.record.id);
   size_t held = bytes() - before;
   SubsetStatistics figures = view.statistics();
   auto us = [](double took) { return took * 1e6; };
@@ -309,18 +309,18 @@
   double idle = medianOf(1001, [&] { view.tick(now += 0.1); });
   uint32_t id = 0;
   double one = medianOf(1001, [&] {
-    Listing row = list.rows[++id * 37 % engines];
-    row.row.cell = int(id);
+    ListedEngine row = list.engines[++id * 37 % engines];
+    row.record.cell = int(id);
     view.apply({1, false, {row}}, now += 1);
   });
   double comes = medianOf(501, [&] {  // somewhere in the middle
-    Listing row = list.rows[++id * 7919 % engines];
-    ++row.row.id;
+    ListedEngine row = list.engines[++id * 7919 % engines];
+    ++row.record.id;
     view.apply({1, false, {row}}, now += 1);
   });
   double goes = medianOf(501, [&] {
-    Listing row = list.rows[++id * 7919 % engines];
-    row.row.state = EngineState::removed;
+    ListedEngine row = list.engines[++id * 7919 % engines];
+    row.record.state = EngineState::removed;
     view.apply({1, false, {row}}, now += 1);
   });
   view.apply(list, now += 1);
@@ -330,20 +330,20 @@
   view.apply({1, true, {}}, now += 1), view.apply(list, now += 1);
   while (view.nextWakeUp() < HUGE_VAL)
     view.tick(now = view.nextWakeUp());  // until it is as narrow as at first
-  ListEvent zone{1, false, {}};
-  for (auto& row : list.rows)
-    if (row.row.zone == "z5")
-      zone.rows.push_back(row);
+  EngineListEvent zone{1, false, {}};
+  for (auto& row : list.engines)
+    if (row.record.zone == "z5")
+      zone.engines.push_back(row);
   auto timed = [&](auto&& work) {
     double began = seconds();
     size_t changes = work();
     return std::pair{seconds() - began, changes};
   };
-  for (auto& row : zone.rows)
-    row.row.state = EngineState::removed;
+  for (auto& row : zone.engines)
+    row.record.state = EngineState::removed;
   auto gone = timed([&] { return view.apply(zone, now += 60).size(); });
-  for (auto& row : zone.rows)
-    row.row.state = EngineState::inService, row.bornMs = int64_t(now * 1000) + 60000;
+  for (auto& row : zone.engines)
+    row.record.state = EngineState::inService, row.startedAtUnixMs = int64_t(now * 1000) + 60000;
   auto back = timed([&] { return view.apply(zone, now += 60).size(); });
   auto warm = timed([&] { return view.tick(now += 31).size(); });
   std::printf(
@@ -356,7 +356,7 @@
       "| warm, in one tick | %.0f | %zu |\n\n"
       "In view %zu, reach %d; %zu bytes held, %.1f an engine, those in view included.\n",
       dispatchers, engines, plan.usersPerEngine, plan.maxUsersPerEngine, us(start), near.size(), us(same),
-      us(one), us(comes), us(goes), us(rest), us(idle), zone.rows.size(), us(gone.first), gone.second,
+      us(one), us(comes), us(goes), us(rest), us(idle), zone.engines.size(), us(gone.first), gone.second,
       us(back.first), back.second, us(warm.first), warm.second, figures.inUse, figures.depth, held,
       double(held) / engines);
 }
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -15,28 +15,28 @@
 }
 
 Address needAddress(const Section& from, const char* key) {
-  auto address = readAddress(from.need<std::string>(key));
+  auto address = parseAddress(from.required<std::string>(key));
   if (!address)
-    from.fault(key, "must be an IPv4 address and a port");
+    from.fail(key, "must be an IPv4 address and a port");
   return *address;
 }
 
-Listing readListing(const Section& host) {
-  Listing one;
-  auto id = host.need<std::string>("host");
-  if (id.size() != 10 || !id.starts_with("s-") || !readHex(std::string_view(id).substr(2), one.row.id))
-    host.fault("host", "must be s- and 8 hex digits");
-  one.row.state = host.word<EngineState>("health", "in_service",
-                                         {{"in_service", EngineState::inService},
-                                          {"terminating", EngineState::draining},
-                                          {"terminated", EngineState::removed}});
+ListedEngine readListing(const Section& host) {
+  ListedEngine one;
+  auto id = host.required<std::string>("host");
+  if (id.size() != 10 || !id.starts_with("s-") || !readHex(std::string_view(id).substr(2), one.record.id))
+    host.fail("host", "must be s- and 8 hex digits");
+  one.record.state = host.choice<EngineState>("health", "in_service",
+                                              {{"in_service", EngineState::inService},
+                                               {"terminating", EngineState::draining},
+                                               {"terminated", EngineState::removed}});
   // What is gone needs no address.
-  if (one.row.state != EngineState::removed || host.has("dial"))
+  if (one.record.state != EngineState::removed || host.has("dial"))
     one.address = needAddress(host, "dial");
-  one.row.zone = host.get<std::string>("site", "");
-  one.row.kind = host.get<std::string>("class", "");
-  one.row.cell = host.get("block", 0);
-  one.bornMs = host.get<int64_t>("born_ms", 0);
+  one.record.zone = host.get<std::string>("site", "");
+  one.record.kind = host.get<std::string>("class", "");
+  one.record.cell = host.get("block", 0);
+  one.startedAtUnixMs = host.get<int64_t>("born_ms", 0);
   return one;
 }
 
@@ -45,8 +45,8 @@
 class KnownRows {
  public:
   bool sound() const { return sound_; }
-  std::vector<Listing> take(size_t result) {
-    return result < rows_.size() ? std::move(rows_[result]) : std::vector<Listing>{};
+  std::vector<ListedEngine> take(size_t result) {
+    return result < rows_.size() ? std::move(rows_[result]) : std::vector<ListedEngine>{};
   }
   // For the parser: false drops what has just been read.
   bool keeps(int depth, Json::parse_event_t event, const Json& parsed) {
@@ -72,35 +72,37 @@
   }
 
  private:
-  std::vector<std::vector<Listing>> rows_;
+  std::vector<std::vector<ListedEngine>> rows_;
   std::array<std::string, 6> path_;  // the last key at each depth
   bool sound_ = true;
 };
 
-std::vector<ListEvent> readKnown(const Section& known, KnownRows* taken) {
-  std::vector<ListEvent> events;
-  for (auto& result : known.rows("results")) {
-    ListEvent& event = events.emplace_back();
+std::vector<EngineListEvent> readKnown(const Section& known, KnownRows* taken) {
+  std::vector<EngineListEvent> events;
+  for (auto& result : known.items("results")) {
+    EngineListEvent& event = events.emplace_back();
     if (taken)
-      event.rows = taken->take(events.size() - 1);
-    event.number = result.need<uint64_t>("seq");
-    const Section fleet = result.part("fleet");
-    event.whole = fleet.get("whole", false);
-    for (auto& host : fleet.rows("hosts"))
-      event.rows.push_back(readListing(host));
+      event.engines = taken->take(events.size() - 1);
+    event.sequence = result.required<uint64_t>("seq");
+    const Section fleet = result.subsection("fleet");
+    event.isFullList = fleet.get("whole", false);
+    for (auto& host : fleet.items("hosts"))
+      event.engines.push_back(readListing(host));
   }
   // The last number may be that of an event without news of engines.
-  auto last = known.need<uint64_t>("seq");
-  if (events.empty() || events.back().number < last)
+  auto last = known.required<uint64_t>("seq");
+  if (events.empty() || events.back().sequence < last)
     events.push_back({last, false, {}});
   return events;
 }
 
-Level readLevel(const Section& file) {
+LogLevel readLevel(const Section& file) {
   const char* level = std::getenv("ELMCLEAT_LOG");
-  return file.word<Level>(
-      "log", level ? level : "info",
-      {{"debug", Level::debug}, {"info", Level::info}, {"warn", Level::warn}, {"error", Level::error}});
+  return file.choice<LogLevel>("log", level ? level : "info",
+                               {{"debug", LogLevel::debug},
+                                {"info", LogLevel::info},
+                                {"warn", LogLevel::warn},
+                                {"error", LogLevel::error}});
 }
 
 Config readConfig(const Json& json, KnownRows* taken) {
@@ -109,24 +111,24 @@
   const Section file(json);
   Config config;
   config.name = file.get<std::string>("name", "");
-  config.listen = needAddress(file, "listen");
-  config.changeLog = needAddress(file, "changelog");
-  if (!readHex(file.need<std::string>("seed"), config.seed))
-    file.fault("seed", "must be hex digits");
-  config.sockets = file.part("limits").need<size_t>("sockets");
-  config.memoryMb = file.part("limits").get<size_t>("memory_mb", 192);
+  config.listenAddress = needAddress(file, "listen");
+  config.changeLogAddress = needAddress(file, "changelog");
+  if (!readHex(file.required<std::string>("seed"), config.seed))
+    file.fail("seed", "must be hex digits");
+  config.maxDescriptors = file.subsection("limits").required<size_t>("sockets");
+  config.memoryMb = file.subsection("limits").get<size_t>("memory_mb", 192);
   if (!file.has("known"))
-    file.fault("known", "is missing");
-  config.known = readKnown(file.part("known"), taken);
+    file.fail("known", "is missing");
+  config.initialEvents = readKnown(file.subsection("known"), taken);
   if (!file.has("settings"))
-    file.fault("settings", "is missing");
-  const Section settings = file.part("settings");
+    file.fail("settings", "is missing");
+  const Section settings = file.subsection("settings");
   config.settings = readSettings(settings);
   if (config.settings.profiles.empty())
-    settings.fault("classes", "must name at least one class");
-  config.links = readLinkSettings(settings);
-  config.peersAllowed = settings.part("limits").get("peers", false);
-  config.log = readLevel(file);
+    settings.fail("classes", "must name at least one class");
+  config.connectionSettings = readConnectionSettings(settings);
+  config.peersAllowed = settings.subsection("limits").get("peers", false);
+  config.logLevel = readLevel(file);
   return config;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -12,15 +12,15 @@
 
 struct Config {
   std::string name;
-  Address listen, changeLog;
+  Address listenAddress, changeLogAddress;
   uint64_t seed = 0;
-  size_t sockets = 0;            // descriptors that the process may hold
-  size_t memoryMb = 0;           // memory that it may take
-  std::vector<ListEvent> known;  // the change log's events up to now
+  size_t maxDescriptors = 0;                   // descriptors that the process may hold
+  size_t memoryMb = 0;                         // memory that it may take
+  std::vector<EngineListEvent> initialEvents;  // the change log's events up to now
   Settings settings;
-  LinkSettings links;
+  ConnectionSettings connectionSettings;
   bool peersAllowed = false;  // instances may speak with each other
-  Level log = Level::info;
+  LogLevel logLevel = LogLevel::info;
 };
 
 // From the environment and the file that it names; std::invalid_argument names the faulty key.
--- /dev/null
+++ b/src/config/gateway_config.cpp
@@ -0,0 +1,155 @@
+#include "config/gateway_config.h"
+
+#include <algorithm>
+
+#include "gateway_schema.h"  // made from schemas/ when the program is built
+
+namespace elmcleat {
+namespace {
+
+budget::ResourceAmounts readAmounts(const Section& section) {
+  budget::ResourceAmounts amounts;
+  if (section.has("cores"))
+    amounts.cores = section.required<double>("cores");
+  if (section.has("memoryMb"))
+    amounts.memoryMb = section.required<double>("memoryMb");
+  if (section.has("sends"))
+    amounts.sends = section.required<double>("sends");
+  return amounts;
+}
+
+budget::NodeSettings readTerms(const Section& section, const budget::NodeSettings& otherwise) {
+  budget::NodeSettings settings = otherwise;
+  settings.guarantee = readAmounts(section.subsection("guarantee"));
+  if (section.has("ceiling"))
+    settings.ceiling = readAmounts(section.subsection("ceiling"));
+  settings.burst = section.get("burstS", otherwise.burst);
+  settings.weight = section.get("weight", otherwise.weight);
+  settings.priority = section.get("priority", otherwise.priority);
+  settings.agingThreshold = section.get("ageAfterS", otherwise.agingThreshold);
+  return settings;
+}
+
+}  // namespace
+
+budget::BudgetSettings readBudgetSettings(const Section& section) {
+  budget::BudgetSettings settings;
+  settings.totalCores = section.get("cores", settings.totalCores);
+  settings.actorHeader = section.get("actor", settings.actorHeader);
+  settings.maxNodes = section.get("maxNodes", settings.maxNodes);
+  settings.idleTimeout = section.get("idleS", settings.idleTimeout);
+  settings.agedShare = section.get("agedPart", settings.agedShare);
+  settings.borrowerYieldTime = section.get("yieldS", settings.borrowerYieldTime);
+  settings.preemptionMode =
+      section.choice<budget::PreemptionMode>("preempt", "lower",
+                                             {{"off", budget::PreemptionMode::off},
+                                              {"lower", budget::PreemptionMode::lowerPriority},
+                                              {"cancel", budget::PreemptionMode::cancel}});
+  settings.preemptionDelay = section.get("preemptAfterS", settings.preemptionDelay);
+  settings.adviseRetryAfter = section.get("tellWaits", settings.adviseRetryAfter);
+  settings.defaults = readTerms(section.subsection("default"), settings.defaults);
+  for (auto& row : section.items("nodes"))
+    settings.entries.push_back({row.required<std::string>("name"), row.get<std::string>("parent", ""),
+                                readTerms(row, settings.defaults)});
+  return settings;
+}
+
+members::MembershipSettings readMembershipSettings(const Section& section) {
+  members::MembershipSettings settings;
+  settings.fleet = section.required<std::string>("fleet");
+  for (auto& row : section.items("peers")) {
+    members::Peer peer{row.required<std::string>("name"), {}};
+    // What is no address is told below, with all other faults.
+    peer.address = parseAddress(row.required<std::string>("at")).value_or(Address{});
+    settings.peers.push_back(peer);
+  }
+  settings.probeInterval = section.get("periodS", settings.probeInterval);
+  settings.minSuspicionTime = section.get("suspectLeastS", settings.minSuspicionTime);
+  settings.maxSuspicionTime = section.get("suspectMostS", settings.maxSuspicionTime);
+  settings.maxPromiseDuration = section.get("longestPromiseS", settings.maxPromiseDuration);
+  return settings;
+}
+
+shared::LeaseSettings readLeaseSettings(const Section& section, int members,
+                                        const budget::BudgetSettings& budgets) {
+  shared::LeaseSettings settings;
+  settings.memberCount = members;
+  settings.reservedShare = section.get("keptPart", settings.reservedShare);
+  settings.leaseDuration = section.get("loanS", settings.leaseDuration),
+  settings.guardTime = section.get("guardS", settings.guardTime);
+  for (auto& rate : budget::fleetRates(budgets))
+    settings.quotas.push_back(rate.cores);
+  return settings;
+}
+
+view::SubsetSettings readSubsetSettings(const Section& section) {
+  view::SubsetSettings settings;
+  settings.usersPerEngine = section.get("users", settings.usersPerEngine);
+  settings.maxUsersPerEngine =
+      section.get("mostUsers", std::max(settings.maxUsersPerEngine, settings.usersPerEngine));
+  settings.minEnginesPerClass = section.get("least", settings.minEnginesPerClass);
+  settings.minUsableShare = section.get("usablePart", settings.minUsableShare);
+  settings.narrowingDelay = section.get("narrowAfterS", settings.narrowingDelay);
+  return settings;
+}
+
+GatewayConfig readGatewayConfig(const Json& document, const std::string& path) {
+  auto errors = validateSchema(document, kGatewaySchema, path);
+  GatewayConfig config;
+  // Each section by itself; what is of a wrong type the schema has told, and better.
+  auto read = [&](const char* name, auto&& section) {
+    if (!document.is_object() || !document.contains(name))
+      return;
+    try {
+      section(Section(document[name], name));
+    } catch (const std::invalid_argument& fault) {
+      if (errors.empty())
+        errors.push_back(path + ": " + fault.what());
+    } catch (const Json::exception& fault) {
+      if (errors.empty())
+        errors.push_back(path + ": " + name + ": " + fault.what());
+    }
+  };
+  read("budgets", [&](const Section& section) {
+    config.budgets = readBudgetSettings(section);
+    for (auto& fault : budget::validate(*config.budgets))
+      errors.push_back(path + ": budgets." + fault.key + ": " + fault.message);
+  });
+  read("members", [&](const Section& section) {
+    config.members = readMembershipSettings(section);
+    auto rows = section.items("peers");
+    for (size_t i = 0; i < rows.size(); ++i)
+      if (auto at = rows[i].required<std::string>("at"); !parseAddress(at))
+        errors.push_back(path + ": " + rows[i].pathOf("at") + ": found '" + at +
+                         "'; allowed is an IPv4 address and a port");
+    for (auto& error : members::validate(*config.members))
+      errors.push_back(path + ": members." + error.key + ": " + error.message);
+  });
+  read("shared", [&](const Section& section) {
+    if (!config.members || !config.budgets) {
+      errors.push_back(path +
+                       ": shared: needs the sections members and budgets: they say with whom and what");
+      return;
+    }
+    config.leases = readLeaseSettings(section, int(config.members->peers.size()), *config.budgets);
+    for (auto& error : shared::validate(*config.leases))
+      errors.push_back(path + ": shared." + error.key + ": " + error.message);
+    if (config.leases->leaseDuration + 2 * config.leases->guardTime > config.members->maxPromiseDuration)
+      errors.push_back(path + ": shared.loanS: with its guards it is longer than members.longestPromiseS");
+    if (config.leases->quotas.empty())
+      errors.push_back(path +
+                       ": shared: budgets name no guarantee and no ceiling in cores: nothing is shared");
+  });
+  read("view", [&](const Section& section) {
+    config.subset = readSubsetSettings(section);
+    for (auto& error : view::validate(*config.subset))
+      errors.push_back(path + ": view." + error.key + ": " + error.message);
+  });
+  if (!errors.empty())
+    throw ValidationErrors(std::move(errors));
+  return config;
+}
+
+GatewayConfig readGatewayConfig(const std::string& path) { return readGatewayConfig(readJson(path), path); }
+
+}  // namespace elmcleat
--- a/src/config/gateway.h
+++ b/src/config/gateway_config.h
@@ -15,19 +15,20 @@
 struct GatewayConfig {
   std::optional<budget::BudgetSettings> budgets;       // none: the module's own turns decide alone
   std::optional<members::MembershipSettings> members;  // none: this process speaks with no other
-  std::optional<shared::LeaseSettings> shared;         // none: budgets are divided equally; else by loans
-  std::optional<view::SubsetSettings> view;            // none: this process uses all engines of the list
+  std::optional<shared::LeaseSettings> leases;         // none: budgets are divided equally; else by loans
+  std::optional<view::SubsetSettings> subset;          // none: this process uses all engines of the list
 };
 
-// Throws Faults, with all that is wrong.
-GatewayConfig readGateway(const std::string& path);
-GatewayConfig readGateway(const Json& document, const std::string& path);
+// Throws ValidationErrors, with all that is wrong.
+GatewayConfig readGatewayConfig(const std::string& path);
+GatewayConfig readGatewayConfig(const Json& document, const std::string& path);
 
 // The sections by themselves; the laboratory's scenarios hold them too.
-budget::BudgetSettings readBudgets(const Section& section);
-members::MembershipSettings readMembers(const Section& section);
-view::SubsetSettings readView(const Section& section);
+budget::BudgetSettings readBudgetSettings(const Section& section);
+members::MembershipSettings readMembershipSettings(const Section& section);
+view::SubsetSettings readSubsetSettings(const Section& section);
 // Members and amounts are those of the whole fleet.
-shared::LeaseSettings readShared(const Section& section, int members, const budget::BudgetSettings& budgets);
+shared::LeaseSettings readLeaseSettings(const Section& section, int members,
+                                        const budget::BudgetSettings& budgets);
 
 }  // namespace elmcleat
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -77,20 +77,22 @@
 
 }  // namespace
 
-Faults::Faults(std::vector<std::string> all) : std::runtime_error(joined(all)), lines(std::move(all)) {}
+ValidationErrors::ValidationErrors(std::vector<std::string> all)
+    : std::runtime_error(joined(all)), messages(std::move(all)) {}
 
 Json readJson(const std::string& path) {
   std::ifstream file(path);
   if (!file)
-    throw Faults({path + ": can't be read"});
+    throw ValidationErrors({path + ": can't be read"});
   try {
     return Json::parse(file);
   } catch (const Json::exception& fault) {
-    throw Faults({path + ": is no JSON: " + fault.what()});
+    throw ValidationErrors({path + ": is no JSON: " + fault.what()});
   }
 }
 
-std::vector<std::string> schemaFaults(const Json& document, const char* schemaText, const std::string& path) {
+std::vector<std::string> validateSchema(const Json& document, const char* schemaText,
+                                        const std::string& path) {
   Json schemaJson = Json::parse(schemaText);
   std::vector<std::string> faults;
   unknownKeys(document, schemaJson, schemaJson, "", path, faults);
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -14,7 +14,7 @@
 
 // What a word stands for.
 template <typename T>
-T named(const std::string& word, std::initializer_list<std::pair<const char*, T>> words) {
+T enumFromName(const std::string& word, std::initializer_list<std::pair<const char*, T>> words) {
   for (auto& [name, value] : words)
     if (word == name)
       return value;
@@ -25,11 +25,11 @@
  public:
   explicit Section(const Json& json, std::string path = "") : json_(json), path_(std::move(path)) {}
 
-  std::string nameOf(std::string_view key) const {
+  std::string pathOf(std::string_view key) const {
     return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
   }
-  [[noreturn]] void fault(std::string_view key, const std::string& why) const {
-    throw std::invalid_argument(nameOf(key) + ": " + why);
+  [[noreturn]] void fail(std::string_view key, const std::string& why) const {
+    throw std::invalid_argument(pathOf(key) + ": " + why);
   }
 
   // The key's value; the default where it is absent or null.
@@ -39,39 +39,39 @@
     return found ? read<T>(key, *found) : std::move(otherwise);
   }
   template <typename T>
-  T need(const char* key) const {
+  T required(const char* key) const {
     if (const Json* found = find(key))
       return read<T>(key, *found);
-    fault(key, "is missing");
+    fail(key, "is missing");
   }
   double seconds(const char* key, double otherwise = 0) const { return get(key, otherwise * 1e6) / 1e6; }
   template <typename T>
-  T word(const char* key, const char* otherwise,
-         std::initializer_list<std::pair<const char*, T>> words) const {
+  T choice(const char* key, const char* otherwise,
+           std::initializer_list<std::pair<const char*, T>> words) const {
     auto said = get<std::string>(key, otherwise);
     for (auto& [name, value] : words)
       if (said == name)
         return value;
-    fault(key, "unknown word '" + said + "'");
+    fail(key, "unknown word '" + said + "'");
   }
 
   bool has(const char* key) const { return find(key) != nullptr; }
-  Section part(const char* key) const {  // an empty one where it is absent
+  Section subsection(const char* key) const {  // an empty one where it is absent
     static const Json none = Json::object();
     const Json* found = find(key);
     if (found && !found->is_object())
-      fault(key, "must be an object");
-    return Section(found ? *found : none, nameOf(key));
+      fail(key, "must be an object");
+    return Section(found ? *found : none, pathOf(key));
   }
-  std::vector<Section> rows(const char* key) const {
+  std::vector<Section> items(const char* key) const {
     std::vector<Section> parts;
     const Json* found = find(key);
     if (!found)
       return parts;
     if (!found->is_array())
-      fault(key, "must be a list");
+      fail(key, "must be a list");
     for (auto& row : *found) {
-      auto path = nameOf(key) + "[" + std::to_string(parts.size()) + "]";
+      auto path = pathOf(key) + "[" + std::to_string(parts.size()) + "]";
       if (!row.is_object())
         throw std::invalid_argument(path + ": must be an object");
       parts.emplace_back(row, path);
@@ -89,7 +89,7 @@
     try {
       return value.get<T>();
     } catch (const Json::exception&) {
-      fault(key, "is of the wrong type");
+      fail(key, "is of the wrong type");
     }
   }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -7,15 +7,15 @@
 
 Profile readProfile(const Section& row) {
   Profile profile;
-  profile.name = row.need<std::string>("name");
-  profile.retrySafety = row.word<RetrySafety>("repeat", "idempotent",
-                                              {{"idempotent", RetrySafety::replayable},
-                                               {"deduplicated", RetrySafety::deduplicated},
-                                               {"at_most_once", RetrySafety::nonReplayable}});
-  profile.deduplicationScope = row.word<DeduplicationScope>("group", "all",
-                                                            {{"all", DeduplicationScope::all},
-                                                             {"zone", DeduplicationScope::zone},
-                                                             {"cell", DeduplicationScope::cell}});
+  profile.name = row.required<std::string>("name");
+  profile.retrySafety = row.choice<RetrySafety>("repeat", "idempotent",
+                                                {{"idempotent", RetrySafety::replayable},
+                                                 {"deduplicated", RetrySafety::deduplicated},
+                                                 {"at_most_once", RetrySafety::nonReplayable}});
+  profile.deduplicationScope = row.choice<DeduplicationScope>("group", "all",
+                                                              {{"all", DeduplicationScope::all},
+                                                               {"zone", DeduplicationScope::zone},
+                                                               {"cell", DeduplicationScope::cell}});
   profile.deduplicationWindow = row.seconds("memorySpanUs");
   profile.latencyTarget = row.seconds("aimUs");
   profile.latencyTargetStretch = row.get("aimStretch", 0.0);
@@ -35,13 +35,13 @@
   settings.gatewayCount = config.get("balancers", 1);
   settings.ordinal = config.get("ordinal", -1);
   settings.zone = config.get<std::string>("zone", "");
-  for (auto& row : config.rows("classes"))
+  for (auto& row : config.items("classes"))
     settings.profiles.push_back(readProfile(row));
-  for (auto& row : config.rows("accounts"))
+  for (auto& row : config.items("accounts"))
     settings.tenants.push_back(
-        {row.need<std::string>("name"), row.get("fraction", 1.0), row.get("quotaPerS", 0.0)});
+        {row.required<std::string>("name"), row.get("fraction", 1.0), row.get("quotaPerS", 0.0)});
 
-  const Section specifics = config.part("specifics");
+  const Section specifics = config.subsection("specifics");
   auto threads = specifics.get("dop", std::vector<int>{});
   auto loads = specifics.get("isLoad", std::vector<bool>{});
   auto yields = specifics.get("yieldsToLoads", std::vector<bool>{});
@@ -63,16 +63,16 @@
   settings.prioritiesSupported = specifics.get("ranksHeeded", false);
   settings.maxMemoryGrantShare = specifics.get("maxGrantShare", 1.0);
   settings.memoryShortagePolicy =
-      specifics.word<MemoryShortagePolicy>("outOfMemory", "line_up",
-                                           {{"line_up", MemoryShortagePolicy::queue},
-                                            {"cut", MemoryShortagePolicy::reduceGrant},
-                                            {"overcommit", MemoryShortagePolicy::overcommit}});
+      specifics.choice<MemoryShortagePolicy>("outOfMemory", "line_up",
+                                             {{"line_up", MemoryShortagePolicy::queue},
+                                              {"cut", MemoryShortagePolicy::reduceGrant},
+                                              {"overcommit", MemoryShortagePolicy::overcommit}});
 
   settings.overShareBenefitFactor = config.get("overShareWorth", 1.0);
-  settings.crossZoneCost = config.part("charges").get("crossZone", 0.0);
+  settings.crossZoneCost = config.subsection("charges").get("crossZone", 0.0);
   settings.engineListOnRequest = config.get<std::string>("membershipMode", "pushed") == "on_request";
 
-  const Section rules = config.part("rules");
+  const Section rules = config.subsection("rules");
   settings.drainGracePeriod = rules.seconds("drainGraceUs");
   settings.coldCapacity = rules.get("coldFrom", 1.0);
   settings.coldDuration = rules.seconds("coldUs");
@@ -83,7 +83,7 @@
   settings.retryBudgetMinimum = rules.get("spareAttempts", 0.0);
   settings.retryBudgetRatio = rules.get("furtherRatio", 0.0);
 
-  const Section limits = config.part("limits");
+  const Section limits = config.subsection("limits");
   settings.maxSends = limits.get("maxAttempts", 1);
   settings.cancelSupported = limits.get("cancel", false);
   settings.probingSupported = limits.get("probing", false);
@@ -92,26 +92,26 @@
   return settings;
 }
 
-LinkSettings readLinkSettings(const Section& config) {
-  LinkSettings links;
-  links.zones = config.need<Names>("localities");
-  links.kinds = config.need<Names>("flavors");
-  const Section limits = config.part("limits");
-  links.sendsPerConnection = limits.need<int>("streamsPerConn");
-  if (links.sendsPerConnection < 1)
-    limits.fault("streamsPerConn", "must be at least 1");
+ConnectionSettings readConnectionSettings(const Section& config) {
+  ConnectionSettings settings;
+  settings.zones = config.required<Names>("localities");
+  settings.kinds = config.required<Names>("flavors");
+  const Section limits = config.subsection("limits");
+  settings.sendsPerConnection = limits.required<int>("streamsPerConn");
+  if (settings.sendsPerConnection < 1)
+    limits.fail("streamsPerConn", "must be at least 1");
   auto span = [&](const char* key) {
-    limits.need<double>(key);
+    limits.required<double>(key);
     double time = limits.seconds(key);
     if (!(time > 0))
-      limits.fault(key, "must be above 0");
+      limits.fail(key, "must be above 0");
     return time;
   };
-  links.connectTimeout = span("connectTimeoutUs");
-  links.idle = span("connIdleUs");
-  links.noteEvery = config.part("specifics").seconds("progressPaceUs");
-  links.reports = config.part("report").get<std::string>("how", "off") != "off";
-  return links;
+  settings.connectTimeout = span("connectTimeoutUs");
+  settings.idleTimeout = span("connIdleUs");
+  settings.statusInterval = config.subsection("specifics").seconds("progressPaceUs");
+  settings.loadReports = config.subsection("report").get<std::string>("how", "off") != "off";
+  return settings;
 }
 
 }  // namespace elmcleat
--- a/src/control/control_thread.cpp
+++ b/src/control/control_thread.cpp
@@ -84,7 +84,7 @@
   wake_ = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   publishSnapshot(*state_, clock.now());  // there is something to go by from the first command on
   info() << "members: fleet '" << settings.fleet << "', " << settings.peers.size() << " listed; listens on "
-         << textOf(settings.peers[size_t(state_->self)].address);
+         << formatAddress(settings.peers[size_t(state_->self)].address);
   thread_ = std::thread([this] { run(); });
   pthread_setname_np(thread_.native_handle(), "control");  // by us: it has its name once we are made
 }
@@ -109,7 +109,7 @@
   for (size_t i = 0; inside.leases && i < inside.leases->quotaCount(); ++i)
     told->quotas.push_back(inside.leases->availableQuota(i, now));
   inside.toldAt = now, inside.told = told->members.number;
-  snapshot_.put(std::move(told));
+  snapshot_.publish(std::move(told));
 }
 
 // A grant is a promise not to use what is granted, a return one not to use what was borrowed: neither goes out before
@@ -118,7 +118,7 @@
 void ControlThread::exchangeLeases(State& inside, double now) {
   auto& loans = inside.leases;
   auto& membership = inside.membership;
-  if (const auto* wants = demand_.get())
+  if (const auto* wants = demand_.read())
     for (size_t i = 0; i < wants->size() && i < loans->quotaCount(); ++i)
       loans->setDemand(i, (*wants)[i]);
   for (size_t i = 0; i < inside.settings.peers.size(); ++i)
@@ -184,7 +184,7 @@
 
 // --- traffic
 const ControlSnapshot* ControlThread::latest(double now) {
-  const ControlSnapshot* told = snapshot_.get();
+  const ControlSnapshot* told = snapshot_.read();
   double age = now - (told ? told->members.takenAt : startedAt_);
   bool stale = age > kStaleAfter;
   if (stale && !stalled_)
--- a/src/control/control_thread.h
+++ b/src/control/control_thread.h
@@ -12,7 +12,7 @@
 #include "budget/budget_settings.h"
 #include "members/membership_settings.h"
 #include "members/snapshot.h"
-#include "runtime/latest.h"
+#include "runtime/latest_value.h"
 #include "runtime/scheduler.h"
 #include "shared/lease_manager.h"
 
@@ -47,10 +47,10 @@
   void watch(Scheduler& traffic);
   // The latest of what may be used, whatever its age: each loan in it holds until its own end. `number` is that of its
   // view; once it is in force here, acknowledge(number) lets go what rests on it.
-  const ControlSnapshot* latestQuotas() { return snapshot_.get(); }
+  const ControlSnapshot* latestQuotas() { return snapshot_.read(); }
   void acknowledge(uint64_t number) { acknowledged_.store(number, std::memory_order_release); }
   void setDemand(std::vector<double> cores) {
-    demand_.put(std::make_unique<const std::vector<double>>(std::move(cores)));
+    demand_.publish(std::make_unique<const std::vector<double>>(std::move(cores)));
   }
 
   // Says goodbye to the others and ends the thread. It is given a bounded time; false: it hangs, and can't be waited for.
@@ -66,8 +66,8 @@
   const Clock& clock_;
   double startedAt_;
   std::unique_ptr<State> state_;
-  Latest<ControlSnapshot> snapshot_;
-  Latest<std::vector<double>> demand_;  // the other way: cores that there is use for
+  LatestValue<ControlSnapshot> snapshot_;
+  LatestValue<std::vector<double>> demand_;  // the other way: cores that there is use for
   std::atomic<uint64_t> acknowledged_{0};
   std::atomic<bool> ended_{false};
   int wake_ = -1;  // an eventfd: stop() has been called
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -18,14 +18,14 @@
 using Rows = std::vector<EngineRecord>;
 
 Outcome readOutcome(const std::string& word) {
-  return named<Outcome>(word, {{"delivered", Outcome::answered},
-                               {"app_error", Outcome::error},
-                               {"shed", Outcome::overloaded},
-                               {"expired", Outcome::timedOut},
-                               {"dial_failed", Outcome::connectFailed},
-                               {"dropped", Outcome::reset},
-                               {"revoked", Outcome::cancelled},
-                               {"unused", Outcome::notStarted}});
+  return enumFromName<Outcome>(word, {{"delivered", Outcome::answered},
+                                      {"app_error", Outcome::error},
+                                      {"shed", Outcome::overloaded},
+                                      {"expired", Outcome::timedOut},
+                                      {"dial_failed", Outcome::connectFailed},
+                                      {"dropped", Outcome::reset},
+                                      {"revoked", Outcome::cancelled},
+                                      {"unused", Outcome::notStarted}});
 }
 
 std::optional<LoadReport> readReport(const Json& event) {
@@ -52,14 +52,14 @@
   for (auto& line : lines) {
     const Section at(line);
     EngineRecord row;
-    row.id = at.need<uint32_t>("node");
+    row.id = at.required<uint32_t>("node");
     row.zone = at.get<std::string>("rackZone", "");
     row.kind = at.get<std::string>("type", "");
     row.cell = at.get("unitGroup", 0);
-    row.state = at.word<EngineState>("condition", "in_service",
-                                     {{"in_service", EngineState::inService},
-                                      {"terminating", EngineState::draining},
-                                      {"terminated", EngineState::removed}});
+    row.state = at.choice<EngineState>("condition", "in_service",
+                                       {{"in_service", EngineState::inService},
+                                        {"terminating", EngineState::draining},
+                                        {"terminated", EngineState::removed}});
     if (double started = at.seconds("bootTimeUs"); started > 0)
       row.startedAt = started;
     rows.push_back(std::move(row));
@@ -165,7 +165,7 @@
     sweep();
     const Section from(event);
     Arrival arrival;
-    arrival.profile = from.need<std::string>("profile");
+    arrival.profile = from.required<std::string>("profile");
     if (auto tenant = event.find("billing"); tenant != event.end() && tenant->is_string())
       arrival.tenant = tenant->get<std::string>();
     arrival.tableGroup = from.get<uint64_t>("dataGroup", 0);
@@ -174,7 +174,7 @@
     arrival.estimatedWork = from.seconds("costUs");
     arrival.estimatedMemoryMb = from.get("needMb", 0.0);
     arrival.remainingTime = from.seconds("expiresInUs");
-    auto rid = from.need<std::string>("rid");
+    auto rid = from.required<std::string>("rid");
     auto command = policy_->submit(arrival);
     ids_.emplace(command.get(), rid);
     live_[rid].command = std::move(command);
@@ -191,8 +191,9 @@
     bool final = from.get("final", false);
     --held->out;
     held->over |= final;
-    held->command->sendFinished(readOutcome(from.need<std::string>("result")), from.seconds("timeTakenUs"),
-                                final, usage ? &*usage : nullptr, report ? &*report : nullptr);
+    held->command->sendFinished(readOutcome(from.required<std::string>("result")),
+                                from.seconds("timeTakenUs"), final, usage ? &*usage : nullptr,
+                                report ? &*report : nullptr);
     drop(*held);
   }
   void note(const Json& event) {
@@ -200,7 +201,7 @@
     if (!held)
       return;
     const Section from(event);
-    int topic = from.need<int>("topic");
+    int topic = from.required<int>("topic");
     if (topic < 1 || topic > 3)
       return;
     static constexpr StatusTopic topics[] = {StatusTopic::progress, StatusTopic::spilling,
@@ -217,11 +218,11 @@
     drop(*held);
   }
   void list(const Json& event, const std::map<int, Rows>& pages) {
-    auto kind =
-        named<EngineListKind>(event.at("scope").get<std::string>(), {{"diff", EngineListKind::delta},
-                                                                     {"snapshot", EngineListKind::full},
-                                                                     {"disk", EngineListKind::full},
-                                                                     {"error", EngineListKind::error}});
+    auto kind = enumFromName<EngineListKind>(event.at("scope").get<std::string>(),
+                                             {{"diff", EngineListKind::delta},
+                                              {"snapshot", EngineListKind::full},
+                                              {"disk", EngineListKind::full},
+                                              {"error", EngineListKind::error}});
     static const Rows none;
     policy_->updateEngines(kind,
                            kind == EngineListKind::error ? none : pages.at(event.at("page").get<int>()));
--- a/src/lab/capacity_page.cpp
+++ b/src/lab/capacity_page.cpp
@@ -93,10 +93,10 @@
       prefixes.push_back(word);
     std::string table = tableOf(files, prefixes), where = "line " + std::to_string(number) + ": ";
     if (table.empty())
-      throw Faults({where + "no figure has a name that begins so"});
+      throw ValidationErrors({where + "no figure has a name that begins so"});
     do {
       if (!std::getline(in, line))
-        throw Faults({where + "the table has no " + kEnd});
+        throw ValidationErrors({where + "the table has no " + kEnd});
       ++number;
     } while (line != kEnd);
     out += table + kEnd + "\n";
--- a/src/lab/capacity_page.h
+++ b/src/lab/capacity_page.h
@@ -10,7 +10,7 @@
 namespace elmcleat::lab {
 
 std::string tableOf(const std::vector<FiguresFile>& files, const std::vector<std::string>& prefixes);
-// The page with all its tables made anew; Faults if one has no end, or names no figure at all.
+// The page with all its tables made anew; ValidationErrors if one has no end, or names no figure at all.
 std::string filled(const std::string& page, const std::vector<FiguresFile>& files);
 // The first line that is not as the files have it: its number and both forms. Nothing: they agree.
 std::optional<std::string> firstDifference(const std::string& page, const std::vector<FiguresFile>& files);
--- a/src/lab/figures_file.cpp
+++ b/src/lab/figures_file.cpp
@@ -94,13 +94,13 @@
              .dump(1)
       << '\n';
   if (!out.flush())
-    throw Faults({path + ": can't be written"});
+    throw ValidationErrors({path + ": can't be written"});
 }
 
 FiguresFile readFigures(const std::string& path) {
   Json document = readJson(path);
-  if (auto faults = schemaFaults(document, kFiguresSchema, path); !faults.empty())
-    throw Faults(std::move(faults));
+  if (auto errors = validateSchema(document, kFiguresSchema, path); !errors.empty())
+    throw ValidationErrors(std::move(errors));
   FiguresFile file{document["machine"], document["plan"], {}, {}};
   auto number = [](const Json& row, const char* key) {
     return row[key].is_null() ? std::nullopt : std::optional(row[key].get<double>());
@@ -112,7 +112,7 @@
     one.repeats = row["repeats"].get<std::vector<std::vector<double>>>();
     one.target = number(row, "target"), one.limit = number(row, "limit"), one.note = row["note"];
     if (one.xs.size() != one.ys.size())
-      throw Faults({path + ": " + one.name + ": xs and ys differ in length"});
+      throw ValidationErrors({path + ": " + one.name + ": xs and ys differ in length"});
   }
   for (auto& row : document["missing"])
     file.missing.push_back({row["figure"], row["variant"], row["reason"], row["x"].get<double>()});
--- a/src/lab/figures_file.h
+++ b/src/lab/figures_file.h
@@ -44,6 +44,6 @@
 
 Json machineHere();  // cores, memoryMb
 void writeFigures(const std::string& path, const FiguresFile& file);
-FiguresFile readFigures(const std::string& path);  // throws Faults
+FiguresFile readFigures(const std::string& path);  // throws ValidationErrors
 
 }  // namespace elmcleat::lab
--- a/src/lab/hollow_clients.cpp
+++ b/src/lab/hollow_clients.cpp
@@ -30,7 +30,7 @@
   };
   using Held = std::shared_ptr<Line>;
   Loop loop;
-  sockaddr_in to = nativeOf(dispatcher);
+  sockaddr_in to = toSockaddr(dispatcher);
   std::deque<Held> free, checks, asked;  // by time
   size_t idleWanted = 0, idleHeld = 0, coming = 0;
   double rate = 0, owed = 0, last = secondsNow();
--- a/src/lab/members_scale.cpp
+++ b/src/lab/members_scale.cpp
@@ -9,7 +9,7 @@
 #include <mutex>
 #include <thread>
 
-#include "config/gateway.h"
+#include "config/gateway_config.h"
 #include "members_schema.h"
 
 namespace elmcleat::lab {
@@ -159,20 +159,20 @@
 
 MembersPlan readMembersPlan(const std::string& path) {
   Json document = readJson(path);
-  if (auto faults = schemaFaults(document, kMembersSchema, path); !faults.empty())
-    throw Faults(std::move(faults));
+  if (auto errors = validateSchema(document, kMembersSchema, path); !errors.empty())
+    throw ValidationErrors(std::move(errors));
   const Section file(document);
   MembersPlan plan;
   plan.sizes = document["sizes"].get<std::vector<int>>(),
   plan.seeds = document["seeds"].get<std::vector<int>>();
   if (plan.seeds.size() != plan.sizes.size())
-    throw Faults({path + ": seeds: one number a size is needed"});
+    throw ValidationErrors({path + ": seeds: one number a size is needed"});
   plan.regions = file.get("regions", plan.regions), plan.target = file.get("target", plan.target);
-  for (auto& row : file.rows("scenes")) {
+  for (auto& row : file.items("scenes")) {
     using Kind = MembersScene::Kind;
     MembersScene& scene = plan.scenes.emplace_back();
-    scene.name = row.need<std::string>("name");
-    scene.kind = row.word<Kind>(
+    scene.name = row.required<std::string>("name");
+    scene.kind = row.choice<Kind>(
         "kind", "quiet",
         {{"quiet", Kind::quiet}, {"lost", Kind::lost}, {"apart", Kind::apart}, {"restarts", Kind::restarts}});
     scene.lasts = row.get("lasts", scene.lasts), scene.part = row.get("part", scene.part);
--- a/src/lab/members_scale.h
+++ b/src/lab/members_scale.h
@@ -30,7 +30,7 @@
   double limitBytes = 5000, limitCores = 0.03, limitMb = 256;
   std::vector<MembersScene> scenes{};
 };
-MembersPlan readMembersPlan(const std::string& path);  // throws Faults
+MembersPlan readMembersPlan(const std::string& path);  // throws ValidationErrors
 
 // What one part of a scene took and cost.
 struct Phase {
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -43,7 +43,7 @@
             doing = step.what;
             try {
               trial.play(step);
-            } catch (const Faults& fault) {
+            } catch (const ValidationErrors& fault) {
               trial.wait(0);  // all still run, and no bound is passed: the other steps are made
               missing(doing, fault);
             }
--- a/src/lab/scale.h
+++ b/src/lab/scale.h
@@ -40,9 +40,9 @@
   std::vector<Expectation> expect;
   std::vector<ScaleRun> runs;
 };
-ScalePlan readScalePlan(const std::string& path);  // throws Faults
+ScalePlan readScalePlan(const std::string& path);  // throws ValidationErrors
 
-// Throws Faults if the machine can't hold it, or a bound was passed on the way.
+// Throws ValidationErrors if the machine can't hold it, or a bound was passed on the way.
 FiguresFile runScale(const ScalePlan& plan, const std::string& program);
 std::vector<std::string> unmet(const ScalePlan& plan, const FiguresFile& file);
 
--- a/src/lab/scale_bounds.cpp
+++ b/src/lab/scale_bounds.cpp
@@ -46,7 +46,7 @@
 ScaleFolder::ScaleFolder() {
   char name[] = "/tmp/elmcleat-scale-XXXXXX";
   if (!mkdtemp(name))
-    throw Faults({std::string(name) + ": can't be made"});
+    throw ValidationErrors({std::string(name) + ": can't be made"});
   path = name;
   sigset_t heeded, old;
   sigemptyset(&heeded), sigaddset(&heeded, SIGUSR1);
@@ -72,9 +72,9 @@
 
 void ScaleBounds::check() const {
   if (secondsNow() > endsAt)
-    throw Faults({"mostSeconds: the run has taken longer than it was told to"});
+    throw ValidationErrors({"mostSeconds: the run has taken longer than it was told to"});
   if (processes.size() + 2 > kMostProcesses)
-    throw Faults({"more than 200 processes"});
+    throw ValidationErrors({"more than 200 processes"});
   double sum = 0;
   for (pid_t pid : processes) {
     double pages = 0, skipped = 0;
@@ -82,7 +82,7 @@
     sum += pages * double(sysconf(_SC_PAGESIZE)) / (1 << 20);
   }
   if (sum > mostMb)
-    throw Faults(
+    throw ValidationErrors(
         {"the processes hold " + std::to_string(int(sum)) + " MB, over half of the machine's memory"});
 }
 
--- a/src/lab/scale_bounds.h
+++ b/src/lab/scale_bounds.h
@@ -31,7 +31,7 @@
   static constexpr size_t kMostProcesses = 200;
   double endsAt = 0, mostMb = 0;
   std::set<pid_t> processes;  // but for the tool itself and the one that removes the folder
-  void check() const;         // throws Faults
+  void check() const;         // throws ValidationErrors
 };
 
 }  // namespace elmcleat::lab
--- a/src/lab/scale_plan.cpp
+++ b/src/lab/scale_plan.cpp
@@ -8,7 +8,7 @@
 
 Step readStep(const Section& row) {
   Step step;
-  step.what = row.need<std::string>("do");
+  step.what = row.required<std::string>("do");
   step.name = row.get<std::string>("name", step.what == "commands" ? "command" : step.what);
   step.seconds = row.get("seconds", step.seconds), step.rate = row.get("rate", step.rate);
   step.work = row.get("work", step.work), step.away = row.get("away", step.away);
@@ -19,11 +19,11 @@
 
 Expectation readExpectation(const Section& row) {
   Expectation one;
-  one.figure = row.need<std::string>("figure"), one.variant = row.get<std::string>("variant", "");
+  one.figure = row.required<std::string>("figure"), one.variant = row.get<std::string>("variant", "");
   auto bound = [](const Section& from, const char* key) {
-    return from.has(key) ? std::optional(from.need<double>(key)) : std::nullopt;
+    return from.has(key) ? std::optional(from.required<double>(key)) : std::nullopt;
   };
-  const Section value = row.part("value"), exponent = row.part("exponent");
+  const Section value = row.subsection("value"), exponent = row.subsection("exponent");
   one.least = bound(value, "least"), one.most = bound(value, "most");
   one.leastExponent = bound(exponent, "least"), one.mostExponent = bound(exponent, "most");
   return one;
@@ -34,25 +34,25 @@
 ScalePlan readScalePlan(const std::string& path) {
   ScalePlan plan;
   plan.document = readJson(path);
-  if (auto faults = schemaFaults(plan.document, kScaleSchema, path); !faults.empty())
-    throw Faults(std::move(faults));
+  if (auto errors = validateSchema(plan.document, kScaleSchema, path); !errors.empty())
+    throw ValidationErrors(std::move(errors));
   const Section file(plan.document);
-  plan.name = file.need<std::string>("name"), plan.mostSeconds = file.need<double>("mostSeconds");
+  plan.name = file.required<std::string>("name"), plan.mostSeconds = file.required<double>("mostSeconds");
   plan.real = file.get("real", plan.real), plan.enginesEach = file.get("enginesEach", plan.enginesEach);
   if (file.has("dispatchers"))
-    plan.dispatchers = file.need<int>("dispatchers");
+    plan.dispatchers = file.required<int>("dispatchers");
   plan.variants = file.get("variants", std::map<std::string, Json>{{"off", nullptr}});
   plan.targets = file.get("target", plan.targets), plan.limits = file.get("limits", plan.limits);
-  for (auto& row : file.rows("expect"))
+  for (auto& row : file.items("expect"))
     plan.expect.push_back(readExpectation(row));
-  for (auto& row : file.rows("runs")) {
+  for (auto& row : file.items("runs")) {
     ScaleRun& run = plan.runs.emplace_back();
-    run.engines = row.need<std::vector<int>>("engines"), run.settle = row.get("settle", run.settle);
+    run.engines = row.required<std::vector<int>>("engines"), run.settle = row.get("settle", run.settle);
     run.variants = row.get("variants", run.variants);
     for (auto& one : run.variants)
       if (!plan.variants.contains(one))
-        throw Faults({path + ": " + row.nameOf("variants") + ": '" + one + "' is no variant here"});
-    for (auto& step : row.rows("steps"))
+        throw ValidationErrors({path + ": " + row.pathOf("variants") + ": '" + one + "' is no variant here"});
+    for (auto& step : row.items("steps"))
       run.steps.push_back(readStep(step));
   }
   return plan;
--- a/src/lab/scale_trial.cpp
+++ b/src/lab/scale_trial.cpp
@@ -28,7 +28,7 @@
 void sleepFor(double span) { usleep(useconds_t(std::max(span, 0.0) * 1e6)); }
 
 bool answersCheck(const Address& address) {  // by 200
-  sockaddr_in to = nativeOf(address);
+  sockaddr_in to = toSockaddr(address);
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   timeval limit{5, 0};
   setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
@@ -133,7 +133,7 @@
     char id[16];
     std::snprintf(id, sizeof id, "s-%08x", i + 1);
     hosts.push_back({{"host", id},
-                     {"dial", textOf({kFirstEngine + i, ports_[i % ports_.size()]})},
+                     {"dial", formatAddress({kFirstEngine + i, ports_[i % ports_.size()]})},
                      {"site", zones[i % kZones]},
                      {"class", "std"},
                      {"block", i / kZones},
@@ -174,10 +174,10 @@
     settings.merge_patch(plan_.document["settings"]);
   return {
       {"name", "scale" + std::to_string(dispatcher)},
-      {"listen", textOf(real_[size_t(dispatcher)]->at)},
+      {"listen", formatAddress(real_[size_t(dispatcher)]->at)},
       {"seed", "8c1f30d27a5be964"},
       {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 20000}}},
-      {"changelog", textOf(changeLog)},
+      {"changelog", formatAddress(changeLog)},
       {"known", {{"seq", 1}, {"results", {{{"seq", 1}, {"fleet", {{"whole", true}, {"hosts", hosts}}}}}}}},
       {"settings", settings}};
 }
@@ -190,7 +190,7 @@
   pid_t parent = getpid();
   its.pid = fork();
   if (its.pid < 0)
-    throw Faults({"no process for a dispatcher"});
+    throw ValidationErrors({"no process for a dispatcher"});
   if (its.pid == 0) {
     endWith(parent, 0);
     int log = open(its.log.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
@@ -216,7 +216,7 @@
         ready[i] = true, add("ready", "s", secondsNow() - began);
     wait(0.002);
     if (secondsNow() > began + kUp)
-      throw Faults({"not ready after " + std::to_string(int(kUp)) + " s"});
+      throw ValidationErrors({"not ready after " + std::to_string(int(kUp)) + " s"});
   }
 }
 
@@ -227,8 +227,8 @@
       if (int status = 0; waitpid(one->pid, &status, WNOHANG) == one->pid) {
         one->pid = 0;
         std::string log = logOf(*one);
-        throw Faults({"a dispatcher ended, status " + std::to_string(status) + ": " +
-                      log.substr(log.size() - std::min<size_t>(log.size(), 300))});
+        throw ValidationErrors({"a dispatcher ended, status " + std::to_string(status) + ": " +
+                                log.substr(log.size() - std::min<size_t>(log.size(), 300))});
       }
     double left = end - secondsNow();
     if (left <= 0)
@@ -373,7 +373,7 @@
       if (sum(&ClientCounts::idle) >= all && sum(&ClientCounts::checks) >= checks + more)
         break;
       if (secondsNow() > end)
-        throw Faults({"connections: " + std::to_string(count) + " did not come up in 20 s"});
+        throw ValidationErrors({"connections: " + std::to_string(count) + " did not come up in 20 s"});
     }
     wait(1);
     auto used = cpu(step.seconds);
@@ -455,7 +455,7 @@
   }
   over();
   if (worst < 0)
-    throw Faults({"drain: no engine that had commands until it was told"});
+    throw ValidationErrors({"drain: no engine that had commands until it was told"});
   add(step.name + ".last", "s", worst);
 }
 
@@ -507,7 +507,7 @@
   for (auto& one : real_) {
     while (!applied(logOf(*one))) {
       if (secondsNow() > told + 5)
-        throw Faults({"silent: no whole list was applied in 5 s"});
+        throw ValidationErrors({"silent: no whole list was applied in 5 s"});
       wait(0.002);
     }
     add("silent.applied", "s", secondsNow() - told);
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -1,6 +1,6 @@
 #include "lab/scenario.h"
 
-#include "config/gateway.h"
+#include "config/gateway_config.h"
 #include "scenario_schema.h"
 
 namespace elmcleat::lab {
@@ -8,13 +8,13 @@
 
 Trouble readTrouble(const Section& row) {
   Trouble trouble;
-  trouble.kind = row.need<std::string>("kind");
-  trouble.at = row.need<double>("at"), trouble.lasts = row.get("lasts", 1e9);
+  trouble.kind = row.required<std::string>("kind");
+  trouble.at = row.required<double>("at"), trouble.lasts = row.get("lasts", 1e9);
   trouble.team = row.get<std::string>("team", "");
   trouble.times = row.get("times", 1.0), trouble.part = row.get("part", 1.0);
   trouble.zone = row.get<std::string>("zone", ""), trouble.steps = row.get("steps", trouble.steps);
   if (row.has("budgets"))
-    trouble.plan = readBudgets(row.part("budgets"));
+    trouble.plan = readBudgetSettings(row.subsection("budgets"));
   return trouble;
 }
 
@@ -22,16 +22,16 @@
 
 Scenario readScenario(const std::string& path) {
   Json document = readJson(path);
-  auto faults = schemaFaults(document, kScenarioSchema, path);
-  if (!faults.empty())
-    throw Faults(std::move(faults));
+  auto errors = validateSchema(document, kScenarioSchema, path);
+  if (!errors.empty())
+    throw ValidationErrors(std::move(errors));
   const Section file(document);
   Scenario scene;
-  scene.name = file.need<std::string>("name"), scene.about = file.get<std::string>("about", "");
+  scene.name = file.required<std::string>("name"), scene.about = file.get<std::string>("about", "");
   scene.lasts = file.get("lasts", scene.lasts), scene.from = file.get("from", scene.from);
   scene.retries = file.get("retries", 0.0);
 
-  const Section fleet = file.part("fleet");
+  const Section fleet = file.subsection("fleet");
   Fleet& f = scene.fleet;
   f.engines = fleet.get("engines", f.engines), f.gateways = fleet.get("gateways", f.gateways);
   f.kind.cores = fleet.get("cores", f.kind.cores), f.kind.memoryMb = fleet.get("memoryMb", f.kind.memoryMb);
@@ -51,30 +51,30 @@
   set.coldOverloadWindow = f.fallTime;
   set.maxSends = fleet.get("maxSends", 3);
   set.cancelSupported = fleet.get("cancel", true), set.prioritiesSupported = fleet.get("priorities", true);
-  for (auto& row : file.rows("profiles")) {
+  for (auto& row : file.items("profiles")) {
     Profile profile;
-    profile.name = row.need<std::string>("name");
+    profile.name = row.required<std::string>("name");
     profile.latencyTarget = row.get("target", 1.0),
     profile.latencyTargetStretch = row.get("targetStretch", 2.0);
     profile.clientTimeout = row.get("clientTimeout", 5.0);
     profile.benefit = row.get("benefit", 1.0), profile.lateBenefitShare = row.get("lateShare", 0.0);
     profile.threads = row.get("threads", 1), profile.ordered = row.get("ordered", false);
-    profile.retrySafety = row.word<RetrySafety>("effect", "replayable",
-                                                {{"replayable", RetrySafety::replayable},
-                                                 {"uniqued", RetrySafety::deduplicated},
-                                                 {"non-replayable", RetrySafety::nonReplayable}});
+    profile.retrySafety = row.choice<RetrySafety>("effect", "replayable",
+                                                  {{"replayable", RetrySafety::replayable},
+                                                   {"uniqued", RetrySafety::deduplicated},
+                                                   {"non-replayable", RetrySafety::nonReplayable}});
     profile.deduplicationWindow = row.get("memorySpan", 60.0);
     set.profiles.push_back(profile);
     scene.work.push_back({row.get("work", 0.2), row.get("spread", 0.5), row.get("memoryMb", 0.0)});
   }
   double all = 0;
-  for (auto& row : file.rows("teams")) {
+  for (auto& row : file.items("teams")) {
     Team& team = scene.teams.emplace_back();
-    team.name = row.need<std::string>("name"), team.rate = row.get("rate", 10.0);
+    team.name = row.required<std::string>("name"), team.rate = row.get("rate", 10.0);
     team.users = row.get("users", 0), team.estimateOver = row.get("estimateOver", 1.0);
     team.gates = row.get("gates", 1.0);
-    for (auto& mix : row.rows("mix"))
-      team.mix.push_back({mix.need<std::string>("profile"), mix.get("part", 1.0)});
+    for (auto& mix : row.items("mix"))
+      team.mix.push_back({mix.required<std::string>("profile"), mix.get("part", 1.0)});
     if (team.mix.empty())
       for (auto& profile : set.profiles)
         team.mix.push_back({profile.name, 1});
@@ -83,32 +83,32 @@
   }
   for (auto& tenant : set.tenants)
     tenant.share /= all;
-  for (auto& row : file.rows("troubles"))
+  for (auto& row : file.items("troubles"))
     scene.troubles.push_back(readTrouble(row));
   if (file.has("budgets")) {
-    scene.budgets = readBudgets(file.part("budgets")), scene.budgetsText = document["budgets"];
+    scene.budgets = readBudgetSettings(file.subsection("budgets")), scene.budgetsText = document["budgets"];
     for (auto& fault : budget::validate(*scene.budgets))
-      faults.push_back(path + ": budgets." + fault.key + ": " + fault.message);
+      errors.push_back(path + ": budgets." + fault.key + ": " + fault.message);
   }
   if (file.has("shared") && scene.budgets) {
-    const Section section = file.part("shared");
-    auto terms = readShared(section, f.gateways, *scene.budgets);
-    for (auto& flaw : shared::validate(terms))
-      faults.push_back(path + ": shared." + flaw.key + ": " + flaw.message);
+    const Section section = file.subsection("shared");
+    auto terms = readLeaseSettings(section, f.gateways, *scene.budgets);
+    for (auto& error : shared::validate(terms))
+      errors.push_back(path + ": shared." + error.key + ": " + error.message);
     scene.shared = terms;
   }
   if (file.has("view")) {
-    scene.view = readView(file.part("view"));
-    for (auto& flaw : view::validate(*scene.view))
-      faults.push_back(path + ": view." + flaw.key + ": " + flaw.message);
+    scene.view = readSubsetSettings(file.subsection("view"));
+    for (auto& error : view::validate(*scene.view))
+      errors.push_back(path + ": view." + error.key + ": " + error.message);
   }
   scene.against = file.get("against", scene.against);
-  for (auto& row : file.rows("expect")) {
-    Expect expect{row.need<std::string>("figure"), {}, {}};
+  for (auto& row : file.items("expect")) {
+    Expect expect{row.required<std::string>("figure"), {}, {}};
     if (row.has("least"))
-      expect.least = row.need<double>("least");
+      expect.least = row.required<double>("least");
     if (row.has("most"))
-      expect.most = row.need<double>("most");
+      expect.most = row.required<double>("most");
     scene.expect.push_back(expect);
   }
   auto known = [&](const std::string& name) {
@@ -120,10 +120,10 @@
   for (size_t i = 0; i < scene.teams.size(); ++i)
     for (auto& mix : scene.teams[i].mix)
       if (!known(mix.profile))
-        faults.push_back(path + ": teams[" + std::to_string(i) + "].mix: '" + mix.profile +
+        errors.push_back(path + ": teams[" + std::to_string(i) + "].mix: '" + mix.profile +
                          "' is no profile here");
-  if (!faults.empty())
-    throw Faults(std::move(faults));
+  if (!errors.empty())
+    throw ValidationErrors(std::move(errors));
   return scene;
 }
 
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -83,7 +83,7 @@
   std::vector<Expect> expect;
 };
 
-// Throws Faults with all that is wrong.
+// Throws ValidationErrors with all that is wrong.
 Scenario readScenario(const std::string& path);
 
 }  // namespace elmcleat::lab
--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -40,11 +40,11 @@
   explicit Peer(Scheduler& scheduler) : signal_(scheduler), stream(scheduler, signal_, kMost, kMost) {}
   void start() { task_ = run(), task_.start(); }
   void say(std::string bytes) {
-    if (!stream.open())
+    if (!stream.isOpen())
       return;
     stream.write(std::move(bytes)), stream.flush();
   }
-  void close() { stream.end(CloseReason::idle), signal_.raise(); }
+  void close() { stream.close(CloseReason::idle), signal_.raise(); }
   std::function<void(std::string&)> heard;
   std::function<void()> over;
 
@@ -56,13 +56,13 @@
 
  private:
   Task run() {
-    while (stream.open()) {
-      stream.connected();
-      stream.fill(true);
-      if (!stream.in().empty())
-        heard(stream.in());
+    while (stream.isOpen()) {
+      stream.isConnected();
+      stream.receive(true);
+      if (!stream.input().empty())
+        heard(stream.input());
       stream.flush();
-      if (stream.open())
+      if (stream.isOpen())
         co_await signal_;
     }
     if (over)
@@ -109,7 +109,7 @@
   Record run() {
     for (auto& trouble : scene_.troubles)
       if (trouble.kind != "burst" && trouble.kind != "quiet" && trouble.kind != "slow")
-        throw Faults({scene_.name + ": on sockets there is no trouble '" + trouble.kind + "' yet"});
+        throw ValidationErrors({scene_.name + ": on sockets there is no trouble '" + trouble.kind + "' yet"});
     char name[] = "/tmp/elmcleat-lab-XXXXXX";
     folder_ = mkdtemp(name);
     record_.seconds.resize(size_t(scene_.lasts) + 2);
@@ -179,7 +179,7 @@
       char id[16];
       std::snprintf(id, sizeof id, "s-%08x", i + 1);
       hosts.push_back({{"host", id},
-                       {"dial", textOf(addressOf(1, i))},
+                       {"dial", formatAddress(addressOf(1, i))},
                        {"site", scene_.fleet.zones.front()},
                        {"class", "std"},
                        {"block", 0},
@@ -200,10 +200,10 @@
       accounts.push_back({{"name", tenant.name}, {"fraction", tenant.share}});
     Json config{
         {"name", "lab" + std::to_string(gate)},
-        {"listen", textOf(addressOf(3, gate))},
+        {"listen", formatAddress(addressOf(3, gate))},
         {"seed", "8c1f30d27a5be964"},
         {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 4096}}},
-        {"changelog", textOf(addressOf(2, 1))},
+        {"changelog", formatAddress(addressOf(2, 1))},
         {"known", {{"seq", 1}, {"results", {{{"seq", 1}, {"fleet", {{"whole", true}, {"hosts", hosts}}}}}}}},
         {"settings",
          {{"balancers", scene_.fleet.gateways},
@@ -257,7 +257,8 @@
           continue;
         std::stringstream log;
         log << std::ifstream(folder_ + "/" + std::to_string(gate) + ".log").rdbuf();
-        throw Faults({program_ + ": is not up after " + std::to_string(int(kUp)) + " s: " + log.str()});
+        throw ValidationErrors(
+            {program_ + ": is not up after " + std::to_string(int(kUp)) + " s: " + log.str()});
       }
   }
 
@@ -403,7 +404,7 @@
     while (!idle.empty()) {
       Client* client = idle.back();
       idle.pop_back();
-      if (client->peer.stream.open())
+      if (client->peer.stream.isOpen())
         return *client;
     }
     Client& client = *clients_.emplace_back(std::make_unique<Client>(scheduler_));
--- a/src/lab/sockets.h
+++ b/src/lab/sockets.h
@@ -5,7 +5,7 @@
 
 namespace elmcleat::lab {
 
-// `program`: the dispatcher. Plays bursts, quiet teams and slow engines; throws Faults for any other trouble, or if a
+// `program`: the dispatcher. Plays bursts, quiet teams and slow engines; throws ValidationErrors for any other trouble, or if a
 // dispatcher does not come up.
 Record playOnSockets(const Scenario& scene, const Record& virtualRun, const Variant& variant,
                      const std::string& program);
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -91,19 +91,19 @@
       } else {
         policy = std::make_unique<Baseline>(settings, seed, *this, variant.deciding == Deciding::random);
       }
-      ListEvent first{0, true, {}};
+      EngineListEvent first{0, true, {}};
       for (uint32_t i = 0; i < world.engines_.size(); ++i)
-        first.rows.push_back(world.listingOf(i, EngineState::inService));
+        first.engines.push_back(world.listingOf(i, EngineState::inService));
       hear(first);
     }
     // The list, or what of it is in view.
-    void hear(const ListEvent& event) {
+    void hear(const EngineListEvent& event) {
       if (!view)
-        return show(event.rows, event.whole);
-      show(view->apply(event, world.now_), event.whole);
+        return show(event.engines, event.isFullList);
+      show(view->apply(event, world.now_), event.isFullList);
       watch();
     }
-    void show(const std::vector<Listing>& listings, bool whole) {
+    void show(const std::vector<ListedEngine>& listings, bool whole) {
       std::vector<EngineRecord> rows;
       for (auto& listing : listings)
         rows.push_back(rowOf(listing));
@@ -123,10 +123,10 @@
           watchAt = -1, show(view->tick(world.now_), false), watch();
       });
     }
-    static EngineRecord rowOf(const Listing& listing) {
-      EngineRecord row = listing.row;
-      if (listing.bornMs > 0)
-        row.startedAt = double(listing.bornMs) / 1000;
+    static EngineRecord rowOf(const ListedEngine& listing) {
+      EngineRecord row = listing.record;
+      if (listing.startedAtUnixMs > 0)
+        row.startedAt = double(listing.startedAtUnixMs) / 1000;
       return row;
     }
     ~Gate() override { policy.reset(), commands.clear(), out.clear(); }
@@ -399,11 +399,11 @@
   const std::string& zoneOf(uint32_t node) const {
     return scene_.fleet.zones[node % scene_.fleet.zones.size()];
   }
-  Listing listingOf(uint32_t node, EngineState state) const {
-    Listing listing;
-    listing.row = {node, zoneOf(node), scene_.fleet.kind.name, 0, state, {}};
+  ListedEngine listingOf(uint32_t node, EngineState state) const {
+    ListedEngine listing;
+    listing.record = {node, zoneOf(node), scene_.fleet.kind.name, 0, state, {}};
     if (auto start = engines_[node]->model.startedAt)
-      listing.bornMs = std::llround(*start * 1000);
+      listing.startedAtUnixMs = std::llround(*start * 1000);
     return listing;
   }
   void go(Gate& gate, uint64_t number, int priority) {
@@ -466,9 +466,9 @@
   }
   void list(const std::vector<uint32_t>& nodes, EngineState state, double lag) {
     events_.at(now_ + lag, [this, nodes, state] {
-      ListEvent event;
+      EngineListEvent event;
       for (uint32_t node : nodes)
-        event.rows.push_back(listingOf(node, state));
+        event.engines.push_back(listingOf(node, state));
       for (auto& gate : gates_) {
         for (uint32_t node : nodes)
           mark(state == EngineState::inService ? Mark::told : Mark::drained, *gate, 0, node);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,7 +9,7 @@
 #include <iostream>
 
 #include "config/config.h"
-#include "config/gateway.h"
+#include "config/gateway_config.h"
 #include "control/control_thread.h"
 #include "runtime/log.h"
 #include "runtime/scheduler.h"
@@ -22,9 +22,9 @@
 namespace {
 
 struct Options {
-  std::string gateway;         // what is ours; empty: nothing of it is on
-  std::optional<Level> level;  // wins over the file and the environment
-  LogForm form = LogForm::text;
+  std::string gateway;            // what is ours; empty: nothing of it is on
+  std::optional<LogLevel> level;  // wins over the file and the environment
+  LogFormat form = LogFormat::text;
   std::vector<std::string> checked;  // files to check, and then to end
 };
 
@@ -39,7 +39,7 @@
 }
 
 GatewayConfig ownConfig(const Options& options) {
-  return options.gateway.empty() ? GatewayConfig{} : readGateway(options.gateway);
+  return options.gateway.empty() ? GatewayConfig{} : readGatewayConfig(options.gateway);
 }
 
 // What can change while commands and connections are in hand does: where the list is followed, the level of the
@@ -48,9 +48,9 @@
                const GatewayConfig& started) {
   try {
     Config config = readConfig();
-    Log::filter(options.level.value_or(config.log));
+    Log::setLevel(options.level.value_or(config.logLevel));
     info() << "configuration: read again";
-    discovery.follow(config.changeLog);
+    discovery.follow(config.changeLogAddress);
   } catch (const std::exception& fault) {
     warn() << "configuration: the old one stays: " << fault.what();
   }
@@ -61,7 +61,7 @@
     dispatcher.updateBudgets(own.budgets);
     if (own.members.has_value() != started.members.has_value())
       warn() << "members: as they were: they are switched at a start alone";
-    if (own.view != started.view)
+    if (own.subset != started.subset)
       warn() << "view: as it was: it changes at a start alone";
   } catch (const std::exception& fault) {
     warn() << "gateway: the old one stays: " << fault.what();
@@ -92,29 +92,29 @@
 
 // All of a fleet must reckon with the same number of dispatchers, or an engine's users differ.
 std::unique_ptr<view::EngineSubset> viewOf(const GatewayConfig& own, const Settings& settings) {
-  if (!own.view)
+  if (!own.subset)
     return nullptr;
   if (own.members && int(own.members->peers.size()) != settings.gatewayCount)
     throw view::Error(view::ErrorKind::dispatcherCountsDiffer,
                       "settings.balancers is " + std::to_string(settings.gatewayCount) +
                           ", members.peers lists " + std::to_string(own.members->peers.size()),
                       "settings.balancers");
-  return std::make_unique<view::EngineSubset>(*own.view, settings);
+  return std::make_unique<view::EngineSubset>(*own.subset, settings);
 }
 
 void serve(const Options& options) {
   int heeded = signalDescriptor();  // first of all: no signal ends us from here on
-  Log::form(options.form);
+  Log::setFormat(options.form);
   GatewayConfig own = ownConfig(options);
   Config config = readConfig();
-  Log::filter(options.level.value_or(config.log));
+  Log::setLevel(options.level.value_or(config.logLevel));
   if (own.members && !config.peersAllowed)
     throw members::Error(members::ErrorKind::peersForbidden,
                          "settings.limits.peers is not true, so members can't be switched on",
                          "members in " + options.gateway);
   // The system may allow fewer than the platform has told us of: the smaller number is the one to keep to.
   if (rlimit held{}; getrlimit(RLIMIT_NOFILE, &held) == 0)
-    config.sockets = std::min<size_t>(config.sockets, held.rlim_cur);
+    config.maxDescriptors = std::min<size_t>(config.maxDescriptors, held.rlim_cur);
   auto seen = viewOf(own, config.settings);
   std::optional<Settings> local;
   if (seen)
@@ -123,8 +123,8 @@
   Scheduler scheduler(clock);
   std::unique_ptr<ControlThread> control;
   std::optional<QuotaSharing> sharing;
-  if (own.shared)
-    sharing = QuotaSharing{*own.shared, budget::fleetRates(*own.budgets)};
+  if (own.leases)
+    sharing = QuotaSharing{*own.leases, budget::fleetRates(*own.budgets)};
   if (own.members)
     control = std::make_unique<ControlThread>(clock, *own.members, config.name, config.seed, sharing);
   Signal signal(scheduler);
@@ -134,7 +134,7 @@
   Listener listener(scheduler, config, dispatcher);
   discovery.setEvictor([&listener] { return listener.evictIdle(); });
   dispatcher.start(discovery);
-  discovery.start(std::exchange(config.known, {}));
+  discovery.start(std::exchange(config.initialEvents, {}));
   std::optional<Timer> look;
   auto heed = [&] { heedShared(*control, dispatcher, *look, clock); };
   if (sharing)
@@ -144,7 +144,7 @@
   heeding.start();
   if (control)
     control->watch(scheduler);
-  info() << config.name << ": listens on " << textOf(config.listen);
+  info() << config.name << ": listens on " << formatAddress(config.listenAddress);
   scheduler.run();
   if (control && !control->stop()) {
     warn() << "members: the control thread hangs; ends without it";
@@ -154,7 +154,7 @@
 
 // All faults of all files, a line each on standard output; 1 if there are any.
 int check(const std::vector<std::string>& paths) {
-  std::vector<std::string> faults;
+  std::vector<std::string> errors;
   for (auto& path : paths)
     try {
       Json document = readJson(path);
@@ -163,17 +163,17 @@
       if (platforms)
         readConfig(document);
       else
-        readGateway(document, path);
-    } catch (const Faults& found) {
-      faults.insert(faults.end(), found.lines.begin(), found.lines.end());
+        readGatewayConfig(document, path);
+    } catch (const ValidationErrors& found) {
+      errors.insert(errors.end(), found.messages.begin(), found.messages.end());
     } catch (const std::exception& fault) {
-      faults.push_back(path + ": " + fault.what());
+      errors.push_back(path + ": " + fault.what());
     }
-  for (auto& fault : faults)
+  for (auto& fault : errors)
     std::cout << fault << '\n';
-  if (faults.empty())
+  if (errors.empty())
     std::cout << paths.size() << (paths.size() == 1 ? " file is" : " files are") << " sound\n";
-  return faults.empty() ? 0 : 1;
+  return errors.empty() ? 0 : 1;
 }
 
 int run(int count, char** words) {
@@ -184,11 +184,13 @@
                  "what is ours: budgets and more (see schemas/gateway.schema.json)")
       ->type_name("FILE");
   app.add_option("--log-level", options.level, "the least level that is logged; wins over the configuration")
-      ->transform(CLI::CheckedTransformer(std::map<std::string, Level>{
-          {"debug", Level::debug}, {"info", Level::info}, {"warn", Level::warn}, {"error", Level::error}}));
+      ->transform(CLI::CheckedTransformer(std::map<std::string, LogLevel>{{"debug", LogLevel::debug},
+                                                                          {"info", LogLevel::info},
+                                                                          {"warn", LogLevel::warn},
+                                                                          {"error", LogLevel::error}}));
   app.add_option("--log-format", options.form, "text, or an object of JSON a line")
       ->transform(CLI::CheckedTransformer(
-          std::map<std::string, LogForm>{{"text", LogForm::text}, {"json", LogForm::json}}));
+          std::map<std::string, LogFormat>{{"text", LogFormat::text}, {"json", LogFormat::json}}));
   app.add_subcommand("serve", "serve, with the configuration that PROXY_CONFIG names (the default)");
   auto* checking =
       app.add_subcommand("check", "look for faults in files, and end: status 1 if there are any");
@@ -207,8 +209,8 @@
 int main(int count, char** words) {
   try {
     return elmcleat::run(count, words);
-  } catch (const elmcleat::Faults& faults) {
-    for (auto& line : faults.lines)
+  } catch (const elmcleat::ValidationErrors& errors) {
+    for (auto& line : errors.messages)
       std::cerr << "elmcleat: " << line << std::endl;
   } catch (const std::exception& fault) {
     std::cerr << "elmcleat: " << fault.what() << std::endl;
--- a/src/members/membership_settings.cpp
+++ b/src/members/membership_settings.cpp
@@ -15,8 +15,9 @@
                                            std::to_string(known->second) + "]; each name is one process"});
     if (at.port == 0)
       continue;  // told already, as no address
-    if (auto [known, fresh] = places.emplace(textOf(at), i); !fresh)
-      errors.push_back({key + ".at", textOf(at) + " is that of peers[" + std::to_string(known->second) +
+    if (auto [known, fresh] = places.emplace(formatAddress(at), i); !fresh)
+      errors.push_back({key + ".at", formatAddress(at) + " is that of peers[" +
+                                         std::to_string(known->second) +
                                          "]; each process needs an address of its own"});
   }
   if (settings.maxSuspicionTime < settings.minSuspicionTime)
--- a/src/members/transport.cpp
+++ b/src/members/transport.cpp
@@ -24,7 +24,7 @@
   int fd = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
     throw std::system_error(errno, std::generic_category(), "socket");
-  sockaddr_in native = nativeOf(address);
+  sockaddr_in native = toSockaddr(address);
   if (::bind(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) == 0)
     return fd;
   int fault = errno;
@@ -50,7 +50,7 @@
     listener_ = std::make_unique<Descriptor>(scheduler, listenOn(me.address), signal_);
   } catch (const std::system_error& fault) {
     throw Error(ErrorKind::addressInUse, std::strerror(fault.code().value()),
-                me.name + " at " + textOf(me.address));
+                me.name + " at " + formatAddress(me.address));
   }
 }
 
@@ -67,7 +67,7 @@
       acceptStreams();
       for (auto link = links_.begin(); link != links_.end();) {
         serve(**link);
-        link = (*link)->stream.open() ? std::next(link) : links_.erase(link);
+        link = (*link)->stream.isOpen() ? std::next(link) : links_.erase(link);
       }
       membership_.tick(scheduler_.now());
       send();
@@ -84,7 +84,7 @@
 // --- what comes
 void Transport::readDatagrams() {
   static thread_local char bytes[kLargest];
-  for (size_t count = 0; datagrams_->news(); ++count) {
+  for (size_t count = 0; datagrams_->mayBeReadable(); ++count) {
     if (count == kMostRead)
       return signal_.raise();
     sockaddr_in from{};
@@ -94,7 +94,7 @@
     if (got >= 0)
       receive({bytes, size_t(got)}, ntohl(from.sin_addr.s_addr), ntohs(from.sin_port));
     else if (errno == EAGAIN)
-      datagrams_->readAll();
+      datagrams_->clearReadable();
     // Any other fault is what became of a datagram of ours (nobody listens there), and taken off the socket by this.
   }
 }
@@ -117,38 +117,38 @@
 // One message a stream: its length in 4 bytes, big-endian, then its bytes, then the end.
 void Transport::serve(MessageStream& link) {
   if (link.ours) {
-    if (!link.stream.connected())
+    if (!link.stream.isConnected())
       return;
     if (!link.out.empty())
       link.stream.write(std::exchange(link.out, {}));
     link.stream.flush();
-    link.stream.fill();  // whoever has read it all closes
+    link.stream.receive();  // whoever has read it all closes
     return;
   }
-  bool open = link.stream.fill();
-  std::string& in = link.stream.in();
+  bool open = link.stream.receive();
+  std::string& in = link.stream.input();
   if (in.size() >= 4) {
     size_t length = 0;
     for (size_t i = 0; i < 4; ++i)
       length = length << 8 | static_cast<unsigned char>(in[i]);
     if (length > kMaxMessageBytes) {
-      reportError(ErrorKind::tooLarge, textOf({link.host, 0}),
+      reportError(ErrorKind::tooLarge, formatAddress({link.host, 0}),
                   "a stream announces more than a message may have");
-      return link.stream.end(CloseReason::overfull);
+      return link.stream.close(CloseReason::bufferFull);
     }
     if (in.size() >= 4 + length) {
       receive(std::string_view(in).substr(4, length), link.host, 0);
-      return link.stream.end(CloseReason::idle);
+      return link.stream.close(CloseReason::idle);
     }
   }
   if (!open && !in.empty())
-    reportError(ErrorKind::undecodable, textOf({link.host, 0}), "a stream ended within a message");
+    reportError(ErrorKind::undecodable, formatAddress({link.host, 0}), "a stream ended within a message");
 }
 
 // A datagram comes from the very address of the member that it names; a stream from its host.
 void Transport::receive(std::string_view bytes, uint32_t host, uint16_t port) {
   auto read = codec_.decode(bytes);
-  std::string from = textOf({host, port});
+  std::string from = formatAddress({host, port});
   if (auto* kind = std::get_if<ErrorKind>(&read))
     return reportError(*kind, from, "a message was dropped");
   auto& message = std::get<Message>(read);
@@ -176,7 +176,7 @@
     if (bytes.size() <=
         Membership::
             kMaxDatagramBytes) {  // lost ones are the protocol's matter: nothing is told of a fault here
-      sockaddr_in native = nativeOf(to);
+      sockaddr_in native = toSockaddr(to);
       (void)!::sendto(datagrams_->fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL,
                       reinterpret_cast<sockaddr*>(&native), sizeof native);
       continue;
--- a/src/members/transport.h
+++ b/src/members/transport.h
@@ -28,7 +28,7 @@
   struct MessageStream {  // a stream with one message on it, ours or theirs
     MessageStream(Scheduler& scheduler, Signal& signal)
         : stream(scheduler, signal, kMaxMessageBytes + 8, kMaxMessageBytes + 8),
-          late(scheduler, [this, &signal] { stream.end(CloseReason::timedOut), signal.raise(); }) {}
+          late(scheduler, [this, &signal] { stream.close(CloseReason::timedOut), signal.raise(); }) {}
     Stream stream;
     Timer late;
     std::string out;    // ours, until the connection is up
--- a/src/protocol/address.cpp
+++ b/src/protocol/address.cpp
@@ -4,7 +4,7 @@
 
 namespace elmcleat {
 
-std::optional<Address> readAddress(std::string_view text) {
+std::optional<Address> parseAddress(std::string_view text) {
   Address address;
   auto number = [&](uint32_t most, char mark) -> std::optional<uint32_t> {
     uint32_t value = 0;
@@ -32,7 +32,7 @@
   return address;
 }
 
-std::string textOf(const Address& address) {
+std::string formatAddress(const Address& address) {
   std::string text;
   for (int shift = 24; shift >= 0; shift -= 8)
     text.append(std::to_string(address.host >> shift & 255)).append(1, shift > 0 ? '.' : ':');
--- a/src/protocol/address.h
+++ b/src/protocol/address.h
@@ -12,7 +12,7 @@
   uint16_t port = 0;
   bool operator==(const Address&) const = default;
 };
-std::optional<Address> readAddress(std::string_view text);  // 10.0.0.4:4100
-std::string textOf(const Address& address);
+std::optional<Address> parseAddress(std::string_view text);  // 10.0.0.4:4100
+std::string formatAddress(const Address& address);
 
 }  // namespace elmcleat
--- a/src/protocol/change_log.cpp
+++ b/src/protocol/change_log.cpp
@@ -26,46 +26,46 @@
 
 }  // namespace
 
-FrameReader::State FrameReader::next(std::string& bytes, ListEvent& event) const {
+FrameParser::State FrameParser::next(std::string& bytes, EngineListEvent& event) const {
   if (bytes.size() < 4)
-    return State::more;
+    return State::needMore;
   size_t length = Bytes(bytes).number(4);
-  if (length < kHead || length + 4 > kMostFrame)
-    return State::bad;
+  if (length < kHead || length + 4 > kMaxFrameBytes)
+    return State::malformed;
   if (bytes.size() < length + 4)
-    return State::more;
+    return State::needMore;
   std::string frame = bytes.substr(4, length);
   bytes.erase(0, length + 4);
 
   Bytes from(frame);
   event = {};
-  event.number = from.number(8);
+  event.sequence = from.number(8);
   uint64_t kind = from.number(1);
   size_t payload = length - kHead;
   if (kind == 0)
-    return payload == 0 ? State::nothingNew : State::bad;
+    return payload == 0 ? State::heartbeat : State::malformed;
   if (kind > 2 || payload % kRecord != 0)
-    return State::bad;
-  event.whole = kind == 1;
+    return State::malformed;
+  event.isFullList = kind == 1;
   while (!from.empty()) {
-    Listing& one = event.rows.emplace_back();
-    one.row.id = static_cast<uint32_t>(from.number(4));
+    ListedEngine& one = event.engines.emplace_back();
+    one.record.id = static_cast<uint32_t>(from.number(4));
     one.address.host = static_cast<uint32_t>(from.number(4));
     one.address.port = static_cast<uint16_t>(from.number(2));
     uint64_t state = from.number(1), zone = from.number(1), machine = from.number(1);
-    one.row.cell = static_cast<int>(from.number(2));
+    one.record.cell = static_cast<int>(from.number(2));
     from.number(4);  // the weight: no decision needs it
-    one.bornMs = static_cast<int64_t>(from.number(8));
+    one.startedAtUnixMs = static_cast<int64_t>(from.number(8));
     if (state > 2 || zone >= zones_.size() || machine >= kinds_.size())
-      return State::bad;
+      return State::malformed;
     static constexpr EngineState states[] = {EngineState::inService, EngineState::draining,
                                              EngineState::removed};
-    one.row.state = states[state], one.row.zone = zones_[zone], one.row.kind = kinds_[machine];
+    one.record.state = states[state], one.record.zone = zones_[zone], one.record.kind = kinds_[machine];
   }
   return State::event;
 }
 
-std::string resumeFrom(uint64_t number) {
+std::string encodeResumeRequest(uint64_t number) {
   std::string bytes;
   for (int shift = 56; shift >= 0; shift -= 8)
     bytes += static_cast<char>(number >> shift & 0xff);
--- a/src/protocol/change_log.h
+++ b/src/protocol/change_log.h
@@ -10,31 +10,31 @@
 
 namespace elmcleat {
 
-struct Listing {     // an engine as the list has it
-  EngineRecord row;  // without its start
+struct ListedEngine {   // an engine as the list has it
+  EngineRecord record;  // without its start
   Address address;
-  int64_t bornMs = 0;  // Unix time of a late start; 0: long ago
+  int64_t startedAtUnixMs = 0;  // Unix time of a late start; 0: long ago
 };
-struct ListEvent {
-  uint64_t number = 0;
-  bool whole = false;
-  std::vector<Listing> rows;
+struct EngineListEvent {
+  uint64_t sequence = 0;
+  bool isFullList = false;
+  std::vector<ListedEngine> engines;
 };
 
-class FrameReader {
+class FrameParser {
  public:
   // The largest list that a frame may hold: half as many engines again as the largest installation planned for.
-  static constexpr size_t kMostFrame = 13 + 27 * 65536;
-  enum class State { more, event, nothingNew, bad };
+  static constexpr size_t kMaxFrameBytes = 13 + 27 * 65536;
+  enum class State { needMore, event, heartbeat, malformed };
 
-  FrameReader(std::vector<std::string> zones, std::vector<std::string> kinds)
+  FrameParser(std::vector<std::string> zones, std::vector<std::string> kinds)
       : zones_(std::move(zones)), kinds_(std::move(kinds)) {}
-  State next(std::string& bytes, ListEvent& event) const;
+  State next(std::string& bytes, EngineListEvent& event) const;
 
  private:
   std::vector<std::string> zones_, kinds_;  // as numbered in records
 };
 
-std::string resumeFrom(uint64_t number);  // what a reader writes first
+std::string encodeResumeRequest(uint64_t number);  // what a reader writes first
 
 }  // namespace elmcleat
--- a/src/protocol/engine_lines.cpp
+++ b/src/protocol/engine_protocol.cpp
@@ -1,4 +1,4 @@
-#include "protocol/engine_lines.h"
+#include "protocol/engine_protocol.h"
 
 #include <algorithm>
 #include <charconv>
@@ -58,79 +58,81 @@
   return std::nullopt;  // a note that we don't know says nothing to us
 }
 
-std::optional<Word> readWord(std::string_view word) {
-  static constexpr std::pair<std::string_view, Word> words[] = {
-      {"HIT", Word::answered}, {"SHED", Word::full}, {"FAULT", Word::error}, {"LATE", Word::over},
-      {"INFO", Word::note},    {"PART", Word::page}, {"PONG", Word::well},   {"SICK", Word::sick}};
+std::optional<ResponseKind> readWord(std::string_view word) {
+  static constexpr std::pair<std::string_view, ResponseKind> words[] = {
+      {"HIT", ResponseKind::answered}, {"SHED", ResponseKind::overloaded}, {"FAULT", ResponseKind::error},
+      {"LATE", ResponseKind::expired}, {"INFO", ResponseKind::status},     {"PART", ResponseKind::page},
+      {"PONG", ResponseKind::healthy}, {"SICK", ResponseKind::unhealthy}};
   for (auto& [name, meaning] : words)
     if (name == word)
       return meaning;
   return std::nullopt;
 }
 
-bool readField(std::string_view name, std::string_view value, EngineAnswer& answer) {
+bool readField(std::string_view name, std::string_view value, EngineResponse& response) {
   double figure = 0;
   if (name == "fetches")
-    return readNumber(value, answer.pages) && answer.pages > 0;
+    return readNumber(value, response.pageCount) && response.pageCount > 0;
   if (name == "fetch_no")
-    return readNumber(value, answer.page) && answer.page > 0;
+    return readNumber(value, response.pageNumber) && response.pageNumber > 0;
   if (name == "meter")
-    return readReport(value, answer.report.emplace());
+    return readReport(value, response.loadReport.emplace());
   if (name == "tell")
-    return answer.topic = readTopic(value), true;
+    return response.topic = readTopic(value), true;
   if (name == "figure")
-    return readFigure(value, answer.level);
+    return readFigure(value, response.topicValue);
   if (name != "effort" && name != "high")
     return true;  // unknown fields are skipped
   if (!readFigure(value, figure))
     return false;
-  if (!answer.bill)
-    answer.bill.emplace();
-  (name == "effort" ? answer.bill->work : answer.bill->memoryMb) = name == "effort" ? figure / 1e3 : figure;
+  if (!response.usage)
+    response.usage.emplace();
+  (name == "effort" ? response.usage->work : response.usage->memoryMb) =
+      name == "effort" ? figure / 1e3 : figure;
   return true;
 }
 
 }  // namespace
 
-EngineReader::State EngineReader::next(std::string& bytes, EngineAnswer& answer) {
+EngineResponseParser::State EngineResponseParser::next(std::string& bytes, EngineResponse& response) {
   if (!inBody_) {
     size_t end = bytes.find("\r\n");
     if (end == std::string::npos)
-      return bytes.size() > kMostLine ? State::bad : State::more;
-    if (end > kMostLine || readLine(std::string_view(bytes).substr(0, end)) == State::bad)
-      return State::bad;
+      return bytes.size() > kMaxLineBytes ? State::malformed : State::needMore;
+    if (end > kMaxLineBytes || readLine(std::string_view(bytes).substr(0, end)) == State::malformed)
+      return State::malformed;
     bytes.erase(0, end + 2);
     inBody_ = true;
   }
   if (bytes.size() < left_ + 2)
-    return State::more;
+    return State::needMore;
   if (bytes.compare(left_, 2, "\r\n") != 0)
-    return State::bad;
+    return State::malformed;
   answer_.body = bytes.substr(0, left_);
   bytes.erase(0, left_ + 2);
   inBody_ = false;
-  answer = std::exchange(answer_, {});
-  return State::whole;
+  response = std::exchange(answer_, {});
+  return State::complete;
 }
 
-EngineReader::State EngineReader::readLine(std::string_view line) {
+EngineResponseParser::State EngineResponseParser::readLine(std::string_view line) {
   answer_ = {};
   std::string_view id = cut(line, ' '), word = cut(line, ' '), fields = cut(line, ' ');
   auto known = readWord(word);
-  if (id.empty() || !known || fields.empty() || !readNumber(line, left_) || left_ > kMostBody)
-    return State::bad;
-  answer_.id = id, answer_.word = *known;
+  if (id.empty() || !known || fields.empty() || !readNumber(line, left_) || left_ > kMaxBodyBytes)
+    return State::malformed;
+  answer_.id = id, answer_.kind = *known;
   if (fields == "-")
-    return State::whole;
+    return State::complete;
   while (!fields.empty()) {
     std::string_view value = cut(fields, ','), name = cut(value, '=');
     if (name.empty() || !readField(name, value, answer_))
-      return State::bad;
+      return State::malformed;
   }
-  return State::whole;
+  return State::complete;
 }
 
-namespace engine_line {
+namespace engine_request {
 
 std::string send(const Send& send) {
   auto limit = std::max(1L, std::lround(std::ceil(send.timeLeft * 1e3)));
@@ -156,6 +158,6 @@
   return std::string(report ? "LOAD " : "PING ").append(tag).append("\r\n");
 }
 
-}  // namespace engine_line
+}  // namespace engine_request
 
 }  // namespace elmcleat
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -6,7 +6,7 @@
 
 namespace elmcleat {
 
-std::string lower(std::string_view text) {
+std::string toLower(std::string_view text) {
   std::string low(text);
   for (char& c : low)
     if (c >= 'A' && c <= 'Z')
@@ -40,7 +40,7 @@
 bool lists(std::string_view list, std::string_view word) {
   while (!list.empty()) {
     size_t comma = std::min(list.find(','), list.size());
-    if (lower(trim(list.substr(0, comma))) == word)
+    if (toLower(trim(list.substr(0, comma))) == word)
       return true;
     list.remove_prefix(std::min(comma + 1, list.size()));
   }
@@ -56,9 +56,9 @@
   return nullptr;
 }
 
-HttpReader::State HttpReader::next(std::string& bytes, HttpRequest& request) {
+HttpRequestParser::State HttpRequestParser::next(std::string& bytes, HttpRequest& request) {
   if (stage_ == Stage::head)
-    if (State state = readHead(bytes); state != State::whole)
+    if (State state = readHead(bytes); state != State::complete)
       return state;
   if (stage_ == Stage::length) {
     size_t part = std::min(left_, bytes.size());
@@ -66,21 +66,21 @@
     bytes.erase(0, part);
     left_ -= part;
     if (left_ > 0)
-      return State::more;
-  } else if (State state = readChunks(bytes); state != State::whole)
+      return State::needMore;
+  } else if (State state = readChunks(bytes); state != State::complete)
     return state;
   stage_ = Stage::head;
   request = std::exchange(request_, {});
-  return State::whole;
+  return State::complete;
 }
 
-HttpReader::State HttpReader::readHead(std::string& bytes) {
+HttpRequestParser::State HttpRequestParser::readHead(std::string& bytes) {
   bytes.erase(
       0, std::min(bytes.find_first_not_of("\r\n"), bytes.size()));  // stray ends of line between requests
   size_t end = bytes.find("\r\n\r\n");
   if (end == std::string::npos)
-    return bytes.size() > kMostHead ? bad(431) : State::more;
-  if (end > kMostHead)
+    return bytes.size() > kMaxHeadBytes ? bad(431) : State::needMore;
+  if (end > kMaxHeadBytes)
     return bad(431);
   std::string head = bytes.substr(0, end);
   bytes.erase(0, end + 4);
@@ -113,7 +113,7 @@
     std::string_view value = trim(field.substr(colon + 1));
     if (std::ranges::any_of(value, [](char c) { return (c >= 0 && c < ' ' && c != '\t') || c == 0x7f; }))
       return bad(400);
-    std::string name = lower(field.substr(0, colon));
+    std::string name = toLower(field.substr(0, colon));
     // Two lengths, or a field of ours twice, could be read in two ways.
     bool single = name == "content-length" || name == "transfer-encoding" || name == "x-ram";
     if (request_.header(name) && (single || name.starts_with("req-")))
@@ -126,23 +126,23 @@
   auto* length = request_.header("content-length");
   left_ = trailers_ = 0;
   if (auto* coding = request_.header("transfer-encoding")) {
-    if (length || lower(*coding) != "chunked")
+    if (length || toLower(*coding) != "chunked")
       return bad(400);
     stage_ = Stage::chunkSize;
   } else {
     if (length && !readNumber(*length, left_))
       return bad(400);
-    if (left_ > kMostBody)
+    if (left_ > kMaxBodyBytes)
       return bad(413);
     stage_ = Stage::length;
   }
   auto* expects = request_.header("expect");
-  if (expects && lower(*expects) != "100-continue")
+  if (expects && toLower(*expects) != "100-continue")
     return bad(417);
-  return expects && bytes.empty() ? State::continues : State::whole;
+  return expects && bytes.empty() ? State::expectsContinue : State::complete;
 }
 
-HttpReader::State HttpReader::readChunks(std::string& bytes) {
+HttpRequestParser::State HttpRequestParser::readChunks(std::string& bytes) {
   while (true) {
     if (stage_ == Stage::chunk) {
       size_t part = std::min(left_, bytes.size());
@@ -150,7 +150,7 @@
       bytes.erase(0, part);
       left_ -= part;
       if (left_ > 0 || bytes.size() < 2)
-        return State::more;
+        return State::needMore;
       if (!bytes.starts_with("\r\n"))
         return bad(400);
       bytes.erase(0, 2);
@@ -158,25 +158,25 @@
     }
     size_t end = bytes.find("\r\n");
     if (end == std::string::npos)
-      return bytes.size() > kMostHead ? bad(400) : State::more;
+      return bytes.size() > kMaxHeadBytes ? bad(400) : State::needMore;
     std::string text = bytes.substr(0, end);
     bytes.erase(0, end + 2);
     if (stage_ == Stage::trailer) {
       if (text.empty())
-        return State::whole;
-      if ((trailers_ += text.size()) > kMostHead)
+        return State::complete;
+      if ((trailers_ += text.size()) > kMaxHeadBytes)
         return bad(431);
       continue;
     }
     if (!readNumber(trim(std::string_view(text).substr(0, text.find(';'))), left_, 16))
       return bad(400);
-    if (left_ > kMostBody || request_.body.size() + left_ > kMostBody)
+    if (left_ > kMaxBodyBytes || request_.body.size() + left_ > kMaxBodyBytes)
       return bad(413);
     stage_ = left_ > 0 ? Stage::chunk : Stage::trailer;
   }
 }
 
-std::string httpAnswer(int status, std::string_view body, bool keepAlive, double retryAfter) {
+std::string formatHttpResponse(int status, std::string_view body, bool keepAlive, double retryAfter) {
   auto reason = [&] {
     switch (status) {
       case 200:
--- a/src/protocol/http.h
+++ b/src/protocol/http.h
@@ -8,7 +8,7 @@
 
 namespace elmcleat {
 
-std::string lower(std::string_view text);  // ASCII letters in lower case, as names of headers are compared
+std::string toLower(std::string_view text);  // ASCII letters in lower case, as names of headers are compared
 
 struct HttpRequest {
   std::string method, path;
@@ -19,23 +19,28 @@
   const std::string* header(std::string_view name) const;
 };
 
-class HttpReader {
+class HttpRequestParser {
  public:
-  static constexpr size_t kMostHead = 16 * 1024, kMostBody = 128 * 1024;
-  enum class State { more, whole, continues, bad };  // continues: the client waits for leave to send the body
-
-  // Takes the next request off the front of `bytes`, as much of it as is there. After `bad`, status() is the
+  static constexpr size_t kMaxHeadBytes = 16 * 1024, kMaxBodyBytes = 128 * 1024;
+  enum class State {
+    needMore,
+    complete,
+    expectsContinue,
+    malformed
+  };  // continues: the client waits for leave to send the body
+
+  // Takes the next request off the front of `bytes`, as much of it as is there. After `malformed`, status() is the
   // answer to give, and the connection's framing is lost.
   State next(std::string& bytes, HttpRequest& request);
   int status() const { return status_; }
-  bool between() const { return stage_ == Stage::head; }  // no part of a request has been taken
-  size_t held() const { return request_.body.capacity(); }
+  bool isBetweenRequests() const { return stage_ == Stage::head; }  // no part of a request has been taken
+  size_t bufferedBytes() const { return request_.body.capacity(); }
 
  private:
   enum class Stage { head, length, chunkSize, chunk, trailer };
   State bad(int status) {
     status_ = status;
-    return State::bad;
+    return State::malformed;
   }
   State readHead(std::string& bytes);
   State readChunks(std::string& bytes);
@@ -47,6 +52,6 @@
   int status_ = 400;
 };
 
-std::string httpAnswer(int status, std::string_view body, bool keepAlive, double retryAfter = 0);
+std::string formatHttpResponse(int status, std::string_view body, bool keepAlive, double retryAfter = 0);
 
 }  // namespace elmcleat
--- a/src/protocol/rows.cpp
+++ b/src/protocol/result_rows.cpp
@@ -1,4 +1,4 @@
-#include "protocol/rows.h"
+#include "protocol/result_rows.h"
 
 #include <algorithm>
 
--- a/src/protocol/statement.cpp
+++ b/src/protocol/statement.cpp
@@ -124,7 +124,7 @@
 
 }  // namespace
 
-std::optional<uint64_t> tablesOf(std::string_view statement) {
+std::optional<uint64_t> tableGroupOf(std::string_view statement) {
   Walk walk(statement);
   std::optional<uint64_t> elsewhere;
   bool atTable = false;
--- a/src/runtime/clock.h
+++ b/src/runtime/clock.h
@@ -10,7 +10,7 @@
   double now() const { return seconds(std::chrono::steady_clock::now() - start_); }
   // A Unix time in milliseconds, on this clock; times before the start are negative.
   double fromUnix(int64_t ms) const { return static_cast<double>(ms) / 1e3 - startUnix_; }
-  double unix(double at) const { return at + startUnix_; }  // and back, in seconds
+  double toUnix(double at) const { return at + startUnix_; }  // and back, in seconds
 
  private:
   template <typename Span>
--- a/src/runtime/latest.h
+++ b/src/runtime/latest_value.h
@@ -9,15 +9,15 @@
 namespace elmcleat {
 
 template <typename T>
-class Latest {
+class LatestValue {
  public:
   // The writer's thread alone. What lay in its place, two values ago or more, is freed here.
-  void put(std::unique_ptr<const T> value) {
+  void publish(std::unique_ptr<const T> value) {
     places_[back_] = std::move(value);
     back_ = between_.exchange(back_ | kNews, std::memory_order_acq_rel) & kPlace;
   }
-  // The reader's thread alone: the last value put, or null. It stays until the next get().
-  const T* get() {
+  // The reader's thread alone: the last value put, or null. It stays until the next read().
+  const T* read() {
     if (between_.load(std::memory_order_relaxed) & kNews)
       front_ = between_.exchange(front_, std::memory_order_acq_rel) & kPlace;
     return places_[front_].get();
--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -35,8 +35,8 @@
 }
 
 // What all threads heed; each has a writer of its own.
-std::atomic<Level> least{Level::info};
-std::atomic<LogForm> shape{LogForm::text};
+std::atomic<LogLevel> least{LogLevel::info};
+std::atomic<LogFormat> shape{LogFormat::text};
 
 class LossySink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  protected:
@@ -81,7 +81,7 @@
   std::unique_ptr<custom_flag_formatter> clone() const override { return std::make_unique<LevelName>(); }
 };
 
-spdlog::level::level_enum of(Level level) {
+spdlog::level::level_enum of(LogLevel level) {
   static constexpr spdlog::level::level_enum levels[] = {spdlog::level::debug, spdlog::level::info,
                                                          spdlog::level::warn, spdlog::level::err};
   return levels[static_cast<int>(level)];
@@ -90,7 +90,7 @@
 struct Writer {
   Writer() : sink(std::make_shared<LossySink>()), logger("elmcleat", sink) {
     logger.set_level(spdlog::level::trace);  // `least` has been asked
-    sink->json = shape == LogForm::json;
+    sink->json = shape == LogFormat::json;
     pattern();
   }
   void pattern() {
@@ -110,13 +110,13 @@
 
 }  // namespace
 
-void Log::filter(Level level) { least.store(level, std::memory_order_relaxed); }
-bool Log::shows(Level level) { return level >= least.load(std::memory_order_relaxed); }
-void Log::form(LogForm form) {
-  shape = form, writer().sink->json = form == LogForm::json, writer().pattern();
+void Log::setLevel(LogLevel level) { least.store(level, std::memory_order_relaxed); }
+bool Log::isEnabled(LogLevel level) { return level >= least.load(std::memory_order_relaxed); }
+void Log::setFormat(LogFormat form) {
+  shape = form, writer().sink->json = form == LogFormat::json, writer().pattern();
 }
 
-void Log::write(Level level, const std::string& text, const LogFields& fields) {
+void Log::write(LogLevel level, const std::string& text, const LogFields& fields) {
   if (!writer().sink->json)
     return writer().logger.log(of(level), std::string_view(text));
   nlohmann::json line;
--- a/src/runtime/log.h
+++ b/src/runtime/log.h
@@ -9,8 +9,8 @@
 
 namespace elmcleat {
 
-enum class Level { debug, info, warn, error };
-enum class LogForm {
+enum class LogLevel { debug, info, warn, error };
+enum class LogFormat {
   text,
   json
 };  // text: the sentence alone; JSON: an object a line, the fields as its keys
@@ -19,16 +19,16 @@
 
 class Log {
  public:
-  static void filter(Level least);
-  static void form(LogForm form);
-  static bool shows(Level level);
-  static void write(Level level, const std::string& text, const LogFields& fields = {});
+  static void setLevel(LogLevel least);
+  static void setFormat(LogFormat form);
+  static bool isEnabled(LogLevel level);
+  static void write(LogLevel level, const std::string& text, const LogFields& fields = {});
 };
 
-// One line, written when the statement ends: LogLine(Level::info).with("engine", id) << "engine " << id;
+// One line, written when the statement ends: LogLine(LogLevel::info).with("engine", id) << "engine " << id;
 class LogLine {
  public:
-  explicit LogLine(Level level) : level_(level), shown_(Log::shows(level)) {}
+  explicit LogLine(LogLevel level) : level_(level), shown_(Log::isEnabled(level)) {}
   LogLine(const LogLine&) = delete;
   LogLine& operator=(const LogLine&) = delete;
   ~LogLine() {
@@ -48,15 +48,15 @@
   }
 
  private:
-  Level level_;
+  LogLevel level_;
   bool shown_;
   std::ostringstream text_;
   LogFields fields_;
 };
 
-inline LogLine debug() { return LogLine(Level::debug); }
-inline LogLine info() { return LogLine(Level::info); }
-inline LogLine warn() { return LogLine(Level::warn); }
-inline LogLine error() { return LogLine(Level::error); }
+inline LogLine debug() { return LogLine(LogLevel::debug); }
+inline LogLine info() { return LogLine(LogLevel::info); }
+inline LogLine warn() { return LogLine(LogLevel::warn); }
+inline LogLine error() { return LogLine(LogLevel::error); }
 
 }  // namespace elmcleat
--- a/src/runtime/mailbox.h
+++ b/src/runtime/mailbox.h
@@ -18,7 +18,7 @@
     signal_.raise();
   }
   bool empty() const { return calls_.empty(); }
-  void drain() {
+  void runAll() {
     while (!calls_.empty()) {
       Call call = std::move(calls_.front());
       calls_.pop_front();
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -2,7 +2,7 @@
 //
 // Who owns a Task owns its coroutine: destroying the Task ends the coroutine where it waits, and all that it
 // waits for is forgotten, since Signal, Timer and Descriptor leave the scheduler in their destructors. A
-// coroutine never destroys itself: its owner hands it to Scheduler::bury(), which lets go of it later.
+// coroutine never destroys itself: its owner hands it to Scheduler::destroyLater(), which lets go of it later.
 #pragma once
 #include <coroutine>
 #include <cstdint>
@@ -86,7 +86,7 @@
   Wait operator co_await() { return {*this, false}; }
   // Waits until all that is ready by now, here or in the system, has had its turn; news that comes meanwhile
   // is kept.
-  Wait others() { return {*this, true}; }
+  Wait afterOthers() { return {*this, true}; }
 
  private:
   friend class Scheduler;
@@ -126,9 +126,9 @@
   int fd() const { return fd_; }
   void close();
   // Whether there may be something to read: set by the system's news, cleared by whoever has read it all.
-  bool news() const { return news_; }
+  bool mayBeReadable() const { return news_; }
   bool hungUp() const { return hungUp_; }  // the other side has closed: there is an end to be read
-  void readAll() { news_ = hungUp_; }
+  void clearReadable() { news_ = hungUp_; }
 
  private:
   friend class Scheduler;
@@ -150,7 +150,7 @@
   void run();  // until stop()
   void stop() { stopped_ = true; }
   // Keeps what is over until no coroutine of it can be running.
-  void bury(std::shared_ptr<void> over) { buried_.push_back(std::move(over)); }
+  void destroyLater(std::shared_ptr<void> over) { buried_.push_back(std::move(over)); }
 
  private:
   friend class Signal;
--- a/src/runtime/stream.cpp
+++ b/src/runtime/stream.cpp
@@ -21,12 +21,12 @@
     case EADDRNOTAVAIL:
       return CloseReason::refused;
     case ETIMEDOUT:
-      return CloseReason::connectLate;
+      return CloseReason::connectTimedOut;
     case EMFILE:
     case ENFILE:
     case ENOBUFS:
     case ENOMEM:
-      return CloseReason::noDescriptor;
+      return CloseReason::outOfDescriptors;
     default:
       return CloseReason::reset;
   }
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-sockaddr_in nativeOf(const Address& address) {
+sockaddr_in toSockaddr(const Address& address) {
   sockaddr_in native{};
   native.sin_family = AF_INET;
   native.sin_addr.s_addr = htonl(address.host);
@@ -50,11 +50,11 @@
     throw std::system_error(errno, std::generic_category(), "socket");
   int on = 1;
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);  // restarts come under the same address
-  sockaddr_in native = nativeOf(address);
+  sockaddr_in native = toSockaddr(address);
   if (::bind(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) < 0 || ::listen(fd, SOMAXCONN) < 0) {
     int fault = errno;
     ::close(fd);
-    throw std::system_error(fault, std::generic_category(), "listening on " + textOf(address));
+    throw std::system_error(fault, std::generic_category(), "listening on " + formatAddress(address));
   }
   return fd;
 }
@@ -65,7 +65,7 @@
   try {
     socket_ = std::make_unique<Descriptor>(scheduler_, fd, signal_);
   } catch (const std::system_error&) {
-    end(CloseReason::noDescriptor);
+    close(CloseReason::outOfDescriptors);
   }
 }
 
@@ -77,21 +77,21 @@
 void Stream::connect(const Address& address, uint32_t from) {
   int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
-    return end(reasonOf(errno));
+    return close(reasonOf(errno));
   adoptDescriptor(fd);
   if (!socket_)
     return;
-  if (sockaddr_in own = nativeOf({from, 0});
+  if (sockaddr_in own = toSockaddr({from, 0});
       from != 0 && ::bind(fd, reinterpret_cast<sockaddr*>(&own), sizeof own) < 0)
-    return end(reasonOf(errno));
-  sockaddr_in native = nativeOf(address);
+    return close(reasonOf(errno));
+  sockaddr_in native = toSockaddr(address);
   if (::connect(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) == 0)
     up_ = true;
   else if (errno != EINPROGRESS)
-    end(reasonOf(errno) == CloseReason::reset ? CloseReason::refused : reasonOf(errno));
+    close(reasonOf(errno) == CloseReason::reset ? CloseReason::refused : reasonOf(errno));
 }
 
-bool Stream::connected() {
+bool Stream::isConnected() {
   if (up_ || !socket_)
     return up_;
   sockaddr_in peer;
@@ -103,14 +103,14 @@
   ::getsockopt(socket_->fd(), SOL_SOCKET, SO_ERROR, &fault, &size);
   // Whatever broke it, it never came up.
   if (fault != 0)
-    end(reasonOf(fault) == CloseReason::reset ? CloseReason::refused : reasonOf(fault));
+    close(reasonOf(fault) == CloseReason::reset ? CloseReason::refused : reasonOf(fault));
   return false;
 }
 
-bool Stream::fill(bool look) {
+bool Stream::receive(bool look) {
   static thread_local char chunk[kChunk];  // a buffer of the stream's own would be cleared at each read
   cutShort_ = false;
-  for (; socket_ && (look || socket_->news()); look = false) {
+  for (; socket_ && (look || socket_->mayBeReadable()); look = false) {
     if (in_.size() >= mostIn_) {  // whoever reads makes room, or ends it
       cutShort_ = true;
       break;
@@ -120,17 +120,17 @@
     if (got > 0) {
       in_.append(chunk, static_cast<size_t>(got));
       if (static_cast<size_t>(got) < room)
-        socket_->readAll();  // but for an end, if one has been announced
+        socket_->clearReadable();  // but for an end, if one has been announced
     } else if (got == 0) {
-      end(CloseReason::closed);
+      close(CloseReason::closed);
     } else if (errno == EAGAIN) {
-      socket_->readAll();
+      socket_->clearReadable();
       break;
     } else if (errno != EINTR) {
-      end(reasonOf(errno));
+      close(reasonOf(errno));
     }
   }
-  return open();
+  return isOpen();
 }
 
 uint64_t Stream::write(std::string bytes) {
@@ -138,13 +138,13 @@
   outBytes_ += bytes.size();
   out_.push_back({place, std::move(bytes)});
   if (outBytes_ > mostOut_)
-    end(CloseReason::overfull);
+    close(CloseReason::bufferFull);
   return place;
 }
 
 bool Stream::withdraw(uint64_t place) {
   auto chunk = std::ranges::find(out_, place, &Chunk::place);
-  if (chunk == out_.end() || begun(place))
+  if (chunk == out_.end() || hasStarted(place))
     return false;
   outBytes_ -= chunk->bytes.size();
   out_.erase(chunk);
@@ -165,7 +165,7 @@
       if (errno == EINTR)
         continue;
       if (errno != EAGAIN)
-        end(reasonOf(errno));
+        close(reasonOf(errno));
       return;
     }
     for (auto left = static_cast<size_t>(done); left > 0;) {
@@ -186,7 +186,7 @@
     ::shutdown(socket_->fd(), SHUT_WR);
 }
 
-void Stream::end(CloseReason ending) {
+void Stream::close(CloseReason ending) {
   if (reason_ == CloseReason::none)
     reason_ = ending;
   socket_.reset();
--- a/src/runtime/stream.h
+++ b/src/runtime/stream.h
@@ -20,28 +20,28 @@
       : scheduler_(scheduler), signal_(signal), mostIn_(mostIn), mostOut_(mostOut) {}
 
   void adopt(int fd);  // a connection that was accepted
-  // connected() tells when it is up, closeReason() if it failed. `from`: our own host, where it matters; 0: any.
+  // isConnected() tells when it is up, closeReason() if it failed. `from`: our own host, where it matters; 0: any.
   void connect(const Address& address, uint32_t from = 0);
-  bool connected();
+  bool isConnected();
 
   // Reads all there is, until the buffer is full; false once the connection has ended. The system is asked
   // only when it has told of something, or with `look`.
-  bool fill(bool look = false);
-  bool cutShort() const { return cutShort_; }  // the last fill() left some, for want of room
-  std::string& in() { return in_; }
-  const std::string& in() const { return in_; }
+  bool receive(bool look = false);
+  bool inputLimited() const { return cutShort_; }  // the last receive() left some, for want of room
+  std::string& input() { return in_; }
+  const std::string& input() const { return in_; }
 
-  // What goes out; each write has a place, by which begun() tells whether its first byte has gone.
+  // What goes out; each write has a place, by which hasStarted() tells whether its first byte has gone.
   uint64_t write(std::string bytes);
   void flush();
-  bool begun(uint64_t place) const { return place < sent_; }
+  bool hasStarted(uint64_t place) const { return place < sent_; }
   bool withdraw(uint64_t place);  // takes back a write that has not begun
-  bool drained() const { return out_.empty(); }
+  bool allSent() const { return out_.empty(); }
 
-  bool open() const { return socket_ != nullptr; }
+  bool isOpen() const { return socket_ != nullptr; }
   CloseReason closeReason() const { return reason_; }
-  void shutDown();               // says that nothing more goes out
-  void end(CloseReason ending);  // closes; the first ending counts
+  void shutDown();                 // says that nothing more goes out
+  void close(CloseReason ending);  // closes; the first ending counts
 
  private:
   struct Chunk {
@@ -63,7 +63,7 @@
 };
 
 // As the system has it.
-sockaddr_in nativeOf(const Address& address);
+sockaddr_in toSockaddr(const Address& address);
 // A socket that listens, or an exception with the reason.
 int listenOn(const Address& address);
 
--- a/src/serve/client_connection.cpp
+++ b/src/serve/client_connection.cpp
@@ -53,11 +53,11 @@
 
 // True if something came. A request counts as come with its first byte.
 bool ClientConnection::read(bool look) {
-  size_t had = stream_.in().size();
-  stream_.fill(look);
-  if (stream_.in().size() == had)
+  size_t had = stream_.input().size();
+  stream_.receive(look);
+  if (stream_.input().size() == had)
     return false;
-  if (had == 0 && reader_.between())
+  if (had == 0 && reader_.isBetweenRequests())
     cameAt_ = scheduler_.now(), setTimeLimit();
   return true;
 }
@@ -77,15 +77,15 @@
   if (unprocessedInput_)
     return false;
   if (!closing_ && requestStarted())
-    stream_.write(httpAnswer({Response::Kind::shed, {}, 0}, false)), stream_.flush();
-  stream_.end(CloseReason::idle);
+    stream_.write(formatHttpResponse({Response::Kind::shed, {}, 0}, false)), stream_.flush();
+  stream_.close(CloseReason::idle);
   return true;
 }
 
 // Who has not taken its answer, or not closed after its last one, is cut off; all others are looked at once more.
 void ClientConnection::timeLimitReached() {
   if (busy_ || closing_)
-    stream_.end(CloseReason::idle);
+    stream_.close(CloseReason::idle);
   else
     late_ = true;
   signal_.raise();
@@ -93,15 +93,15 @@
 
 // What it has written behind its request may be more than we keep: that is read and dropped, so that its end is seen.
 bool ClientConnection::isConnected() {
-  stream_.fill(true);
-  for (int i = 0; i < kPaceReads && stream_.cutShort(); ++i) {
+  stream_.receive(true);
+  for (int i = 0; i < kPaceReads && stream_.inputLimited(); ++i) {
     framingLost_ = true;  // where a further request would begin is not known any more
-    stream_.in().clear();
-    stream_.fill(true);
+    stream_.input().clear();
+    stream_.receive(true);
   }
-  if (!stream_.open())
+  if (!stream_.isOpen())
     signal_.raise();
-  return stream_.open();
+  return stream_.isOpen();
 }
 
 void ClientConnection::drain() {
@@ -127,31 +127,32 @@
     // --- a request
     HttpRequest request;
     setTimeLimit();
-    HttpReader::State state;
+    HttpRequestParser::State state;
     bool tooMuch = full_, over = false;
     while (true) {
       read(late_);
       unprocessedInput_ = false;
-      state = reader_.next(stream_.in(), request);
-      accountMemory(stream_.in().capacity() + reader_.held() + request.body.capacity());
-      if (state == HttpReader::State::whole || state == HttpReader::State::bad)
+      state = reader_.next(stream_.input(), request);
+      accountMemory(stream_.input().capacity() + reader_.bufferedBytes() + request.body.capacity());
+      if (state == HttpRequestParser::State::complete || state == HttpRequestParser::State::malformed)
         break;
-      if (memory_.used > memory_.limit && !reader_.between()) {  // a body that has no room: it is not kept
+      if (memory_.used > memory_.limit &&
+          !reader_.isBetweenRequests()) {  // a body that has no room: it is not kept
         tooMuch = true;
         break;
       }
-      if (state == HttpReader::State::continues)
+      if (state == HttpRequestParser::State::expectsContinue)
         stream_.write("HTTP/1.1 100 Continue\r\n\r\n"), stream_.flush();
-      if (!stream_.open())
+      if (!stream_.isOpen())
         break;
-      if (stream_.cutShort() || state == HttpReader::State::continues)
+      if (stream_.inputLimited() || state == HttpRequestParser::State::expectsContinue)
         continue;
       if ((over = late_ || (draining_ && !requestStarted())))
         break;
       co_await signal_;
     }
     limit_.clear();
-    if (!stream_.open())
+    if (!stream_.isOpen())
       break;  // nobody is there to be answered
     if (over && !requestStarted())
       break;  // it rests: it is told that nothing more is read
@@ -160,7 +161,7 @@
 
     // --- its answer
     std::string bytes;
-    if (state == HttpReader::State::bad) {
+    if (state == HttpRequestParser::State::malformed) {
       keepAlive = false;
       bytes = errorResponse(reader_.status(), "malformed or too large", false);
     } else if (over) {
@@ -168,16 +169,16 @@
       bytes = errorResponse(408, "half a request, and then nothing more in time", false);
     } else if (tooMuch) {
       keepAlive = false;
-      bytes = httpAnswer({Response::Kind::shed, {}, 0}, false);
+      bytes = formatHttpResponse({Response::Kind::shed, {}, 0}, false);
     } else {
       keepAlive = request.keepAlive &= !draining_;
       if (auto at = serve(std::move(request))) {
         bytes = std::move(*at);
       } else {
         now = false;
-        while (!response_ && !abandoned_ && stream_.open()) {
+        while (!response_ && !abandoned_ && stream_.isOpen()) {
           co_await signal_;
-          mailbox_.drain();
+          mailbox_.runAll();
           if (!response_)
             isConnected();
           if (framingLost_)
@@ -188,20 +189,20 @@
         keepAlive &= !draining_ && !framingLost_;
         debug().with("command", context_->request.id)
             << "client: answers " << context_->request.id << ": " << nameOf(response_->kind);
-        bytes = httpAnswer(*std::exchange(response_, {}), keepAlive);
+        bytes = formatHttpResponse(*std::exchange(response_, {}), keepAlive);
         context_ = nullptr;
       }
     }
-    accountMemory(stream_.in().capacity() + bytes.size());
+    accountMemory(stream_.input().capacity() + bytes.size());
     stream_.write(std::move(bytes));
     limit_.set(scheduler_.now() + kIdle);
-    for (stream_.flush(); stream_.open() && !stream_.drained(); stream_.flush())
+    for (stream_.flush(); stream_.isOpen() && !stream_.allSent(); stream_.flush())
       co_await signal_;
     busy_ = false;
     cameAt_ = idleSince_ = scheduler_.now();  // of a next request that has come already
-    accountMemory(stream_.in().capacity());
-    if (now && !stream_.in().empty())
-      co_await signal_.others();  // who asks at full speed takes turns
+    accountMemory(stream_.input().capacity());
+    if (now && !stream_.input().empty())
+      co_await signal_.afterOthers();  // who asks at full speed takes turns
   }
   // What the client still sends is read until it closes: unread bytes would turn our close into a reset, and
   // that may overtake the answer.
@@ -213,16 +214,16 @@
   accountMemory(0);
   done_();
   due = true;
-  while (stream_.open()) {
+  while (stream_.isOpen()) {
     for (int i = 0; due && i < kPaceReads; ++i) {
-      stream_.fill();
-      stream_.in().clear();
-      if (!stream_.cutShort())
+      stream_.receive();
+      stream_.input().clear();
+      if (!stream_.inputLimited())
         break;
     }
-    if (due && stream_.cutShort())
+    if (due && stream_.inputLimited())
       due = false, pace.set(scheduler_.now() + kPace);
-    if (stream_.open())
+    if (stream_.isOpen())
       co_await signal_;
   }
   if (context_) {
@@ -237,7 +238,7 @@
 
 std::string ClientConnection::errorResponse(int status, const std::string& why, bool keepAlive) const {
   warn().with("why", why) << "client: answered " << status << ": " << why;
-  return httpAnswer(status, R"({"problem":"Failed"})", keepAlive);
+  return formatHttpResponse(status, R"({"problem":"Failed"})", keepAlive);
 }
 
 std::optional<std::string> ClientConnection::serve(HttpRequest&& request) {
@@ -246,7 +247,7 @@
     request.path.resize(query);
   if (request.path == "/check") {
     if (request.method == "GET")
-      return httpAnswer(200, "{}", keepAlive);
+      return formatHttpResponse(200, "{}", keepAlive);
     return errorResponse(405, "/check by " + request.method, keepAlive);
   }
   if (!request.path.starts_with("/do/"))
@@ -254,7 +255,7 @@
   if (request.method == "DELETE") {  // the command's path: /do/PROFILE with its id as a header, or /do/ID
     auto* id = request.header("req-id");
     if (dispatcher_.withdraw(id ? *id : request.path.substr(request.path.rfind('/') + 1)))
-      return httpAnswer(200, "{}", keepAlive);
+      return formatHttpResponse(200, "{}", keepAlive);
     return errorResponse(404, "nothing in hand to withdraw", keepAlive);
   }
   if (request.method != "POST")
--- a/src/serve/client_connection.h
+++ b/src/serve/client_connection.h
@@ -30,7 +30,7 @@
   }
   void start() { task_.start(); }
 
-  bool open() const { return stream_.open(); }
+  bool open() const { return stream_.isOpen(); }
   bool idle() const { return !busy_ && open(); }
   double idleSince() const { return idleSince_; }
   bool hasSentRequest() const { return requestReceived_; }
@@ -50,7 +50,7 @@
   bool read(bool look = false);
   void setTimeLimit();
   bool requestStarted() const {
-    return !stream_.in().empty() || !reader_.between();
+    return !stream_.input().empty() || !reader_.isBetweenRequests();
   }  // part of a request has come
   void timeLimitReached();
   void accountMemory(size_t bytes);
@@ -67,7 +67,7 @@
   Mailbox mailbox_;
   Stream stream_;
   Timer limit_;
-  HttpReader reader_;
+  HttpRequestParser reader_;
   double cameAt_ = 0, idleSince_ = 0;
   bool busy_ = false, abandoned_ = false;
   bool full_, requestReceived_ = false;  // asked: a whole request has come
--- a/src/serve/discovery.cpp
+++ b/src/serve/discovery.cpp
@@ -17,7 +17,7 @@
 // time, it would take the core.
 constexpr double kPause = 0.1;
 constexpr size_t kLeastLinks = 8;  // however few descriptors there are
-constexpr size_t kMostIn = 2 * FrameReader::kMostFrame, kMostOut = 64;
+constexpr size_t kMostIn = 2 * FrameParser::kMaxFrameBytes, kMostOut = 64;
 
 }  // namespace
 
@@ -29,13 +29,13 @@
       signal_(scheduler),
       mailbox_(signal_),
       timer_(scheduler, [this] { late_ = true, signal_.raise(); }),
-      changeLog_(config.changeLog),
-      reader_(config.links.zones, config.links.kinds),
+      changeLog_(config.changeLogAddress),
+      reader_(config.connectionSettings.zones, config.connectionSettings.kinds),
       subset_(std::move(view)),
       subsetTimer_(scheduler, [this] { updateSubset(); }),
-      connectionQuota_(std::max(config.sockets / 3, kLeastLinks)) {}
+      connectionQuota_(std::max(config.maxDescriptors / 3, kLeastLinks)) {}
 
-void Discovery::start(const std::vector<ListEvent>& known) {
+void Discovery::start(const std::vector<EngineListEvent>& known) {
   for (auto& event : known)
     apply(event);
   task_ = run();
@@ -46,7 +46,7 @@
   mailbox_.post([this, changeLog] {
     if (changeLog == changeLog_)
       return;
-    info() << "change log: moves to " << textOf(changeLog);
+    info() << "change log: moves to " << formatAddress(changeLog);
     changeLog_ = changeLog, moved_ = true;
   });
 }
@@ -57,18 +57,18 @@
   for (bool first = true;; first = false) {
     double began = scheduler_.now();
     Stream stream(scheduler_, signal_, kMostIn, kMostOut);
-    within(config_.links.connectTimeout);
+    within(config_.connectionSettings.connectTimeout);
     moved_ = false;
     stream.connect(changeLog_);
-    if (stream.closeReason() == CloseReason::noDescriptor && !std::exchange(evicted, true) &&
+    if (stream.closeReason() == CloseReason::outOfDescriptors && !std::exchange(evicted, true) &&
         connectionQuota_.evictOther())
       continue;
     evicted = false;
     bool up = false, heard = false;
-    while (stream.open()) {
-      if (!up && stream.connected()) {
+    while (stream.isOpen()) {
+      if (!up && stream.isConnected()) {
         up = true;
-        stream.write(resumeFrom(last_));
+        stream.write(encodeResumeRequest(last_));
         within(kSilence);
         info() << "change log: connected, from event " << last_;
       }
@@ -76,13 +76,13 @@
       if (up && read(stream))
         heard = true, within(kSilence);
       if (moved_)
-        stream.end(CloseReason::replaced);  // after what it had told is read
+        stream.close(CloseReason::replaced);  // after what it had told is read
       if (late_)
-        stream.end(up ? CloseReason::silent : CloseReason::connectLate);
-      if (!stream.open())
+        stream.close(up ? CloseReason::unresponsive : CloseReason::connectTimedOut);
+      if (!stream.isOpen())
         break;
       co_await signal_;
-      mailbox_.drain();
+      mailbox_.runAll();
     }
     timer_.clear();
     if (up || first)
@@ -93,7 +93,7 @@
     within(kPause);
     while (!late_ && !moved_) {
       co_await signal_;
-      mailbox_.drain();
+      mailbox_.runAll();
     }
   }
 }
@@ -102,43 +102,44 @@
 bool Discovery::read(Stream& stream) {
   bool any = false;
   do {
-    stream.fill();
-    ListEvent event;
-    for (FrameReader::State state; (state = reader_.next(stream.in(), event)) != FrameReader::State::more;) {
-      if (state == FrameReader::State::bad) {
-        stream.end(CloseReason::garbled);
+    stream.receive();
+    EngineListEvent event;
+    for (FrameParser::State state;
+         (state = reader_.next(stream.input(), event)) != FrameParser::State::needMore;) {
+      if (state == FrameParser::State::malformed) {
+        stream.close(CloseReason::malformed);
         return any;
       }
       any = true;
-      if (state == FrameReader::State::nothingNew || event.number <= last_)
+      if (state == FrameParser::State::heartbeat || event.sequence <= last_)
         continue;
-      if (event.number > last_ + 1 && last_ > 0)
-        warn() << "change log: event " << event.number << " follows " << last_;
+      if (event.sequence > last_ + 1 && last_ > 0)
+        warn() << "change log: event " << event.sequence << " follows " << last_;
       apply(event);
     }
-  } while (stream.open() && stream.cutShort());
+  } while (stream.isOpen() && stream.inputLimited());
   return any;
 }
 
-void Discovery::apply(const ListEvent& event) {
-  last_ = event.number;
-  if (!event.whole && event.rows.empty())
+void Discovery::apply(const EngineListEvent& event) {
+  last_ = event.sequence;
+  if (!event.isFullList && event.engines.empty())
     return;
   if (!subset_) {
-    info() << "change log: event " << event.number << ", " << (event.whole ? "whole list" : "changes") << ", "
-           << event.rows.size() << " engines named";
-    return updateEngines(event.rows, event.whole);
+    info() << "change log: event " << event.sequence << ", " << (event.isFullList ? "whole list" : "changes")
+           << ", " << event.engines.size() << " engines named";
+    return updateEngines(event.engines, event.isFullList);
   }
-  applySubsetChanges(subset_->apply(event, scheduler_.clock().unix(scheduler_.now())),
-                     event.whole ? "whole list" : "changes");
+  applySubsetChanges(subset_->apply(event, scheduler_.clock().toUnix(scheduler_.now())),
+                     event.isFullList ? "whole list" : "changes");
 }
 
 void Discovery::updateSubset() {
-  applySubsetChanges(subset_->tick(scheduler_.clock().unix(scheduler_.now())), "its own width");
+  applySubsetChanges(subset_->tick(scheduler_.clock().toUnix(scheduler_.now())), "its own width");
 }
 
 // What is out of view costs no line, actor, timer or row of the module.
-void Discovery::applySubsetChanges(const std::vector<Listing>& changes, const char* why) {
+void Discovery::applySubsetChanges(const std::vector<ListedEngine>& changes, const char* why) {
   if (double at = subset_->nextWakeUp(); at < HUGE_VAL)
     subsetTimer_.set(scheduler_.clock().fromUnix(int64_t(at * 1e3) + 1));
   else
@@ -153,18 +154,18 @@
   updateEngines(changes, false);
 }
 
-void Discovery::updateEngines(const std::vector<Listing>& listings, bool whole) {
+void Discovery::updateEngines(const std::vector<ListedEngine>& listings, bool whole) {
   std::set<uint32_t> named;
   std::vector<EngineRecord> rows;
   for (auto& listing : listings) {
-    EngineRecord& row = rows.emplace_back(listing.row);
-    if (listing.bornMs > 0)
-      row.startedAt = scheduler_.clock().fromUnix(listing.bornMs);
+    EngineRecord& row = rows.emplace_back(listing.record);
+    if (listing.startedAtUnixMs > 0)
+      row.startedAt = scheduler_.clock().fromUnix(listing.startedAtUnixMs);
     named.insert(row.id);
     auto& engine = engines_[row.id];
     if (!engine)
-      engine = std::make_unique<Engine>(scheduler_, config_.links, dispatcher_, row.id, connectionsPerEngine_,
-                                        connectionQuota_);
+      engine = std::make_unique<Engine>(scheduler_, config_.connectionSettings, dispatcher_, row.id,
+                                        connectionsPerEngine_, connectionQuota_);
     if (row.state == EngineState::inService)
       engine->setAddress(listing.address, row.startedAt);
     else
@@ -176,7 +177,8 @@
     at = at->second->isUnused() ? engines_.erase(at) : std::next(at);
   }
   // Clients hold a third of all descriptors at most; as many are for engines, and the last third is to spare.
-  connectionsPerEngine_ = std::max<size_t>(1, config_.sockets / 3 / std::max<size_t>(1, engines_.size()));
+  connectionsPerEngine_ =
+      std::max<size_t>(1, config_.maxDescriptors / 3 / std::max<size_t>(1, engines_.size()));
   dispatcher_.updateEngines(whole ? EngineListKind::full : EngineListKind::delta, std::move(rows));
 }
 
--- a/src/serve/discovery.h
+++ b/src/serve/discovery.h
@@ -18,7 +18,7 @@
   // With a view, only the engines in it are used; without one all are.
   Discovery(Scheduler& scheduler, const Config& config, Dispatcher& dispatcher,
             std::unique_ptr<view::EngineSubset> view = nullptr);
-  void start(const std::vector<ListEvent>& known);  // then the change log is followed
+  void start(const std::vector<EngineListEvent>& known);  // then the change log is followed
   // Who can do without a descriptor when the system has none for the change log, or for an engine.
   void setEvictor(std::function<bool()> evict) { connectionQuota_.evictOther = std::move(evict); }
   void follow(const Address& changeLog);  // from the last number on, at once, if it is another one
@@ -34,11 +34,11 @@
  private:
   Task run();
   bool read(Stream& stream);
-  void apply(const ListEvent& event);
+  void apply(const EngineListEvent& event);
   void updateSubset();  // has the view to be wider, or narrower?
-  void updateEngines(const std::vector<Listing>& listings,
+  void updateEngines(const std::vector<ListedEngine>& listings,
                      bool whole);  // what is not named in a whole list is gone
-  void applySubsetChanges(const std::vector<Listing>& changes, const char* why);  // of the view
+  void applySubsetChanges(const std::vector<ListedEngine>& changes, const char* why);  // of the view
   void withEngine(uint32_t node, std::function<void(Engine&)> call);
 
   Scheduler& scheduler_;
@@ -50,7 +50,7 @@
   bool late_ = false;   // the timer has run out
   bool moved_ = false;  // the change log has another address since we last connected
   Address changeLog_;
-  FrameReader reader_;
+  FrameParser reader_;
   std::unique_ptr<view::EngineSubset> subset_;
   Timer subsetTimer_;                // when the view may change by itself
   uint64_t last_ = 0;                // number of the last event that is known
--- a/src/serve/dispatcher.cpp
+++ b/src/serve/dispatcher.cpp
@@ -18,7 +18,7 @@
       budgets_(plan ? std::make_unique<budget::TreeScheduler>(*plan, settings.gatewayCount) : nullptr),
       policy_(createPolicy(local.value_or(settings), seed, *this, budgets_.get())) {
   if (plan)
-    actorHeader_ = lower(plan->actorHeader);
+    actorHeader_ = toLower(plan->actorHeader);
 }
 
 void Dispatcher::start(EngineRouter& engines) {
@@ -31,7 +31,7 @@
   while (true) {
     co_await signal_;
     policy_->advanceTo(scheduler_.now());
-    mailbox_.drain();
+    mailbox_.runAll();
     policy_->decide();
     for (auto& context : std::exchange(finishedInBatch_, {}))
       removeIfFinished(context);
@@ -101,7 +101,7 @@
     warn() << "budgets: the old ones stay: rates that are shared change at a start alone";
   } else if (plan) {
     mailbox_.post([this, plan = *plan] {
-      budgets_->reconfigure(plan), actorHeader_ = lower(plan.actorHeader);
+      budgets_->reconfigure(plan), actorHeader_ = toLower(plan.actorHeader);
       info() << "budgets: changed, " << plan.entries.size() << " nodes";
     });
   }
--- a/src/serve/engine.cpp
+++ b/src/serve/engine.cpp
@@ -19,9 +19,9 @@
 Engine::EngineConnection::EngineConnection(Scheduler& scheduler, Signal& signal, std::function<void()> late)
     : stream(scheduler, signal, kMostIn, kMostOut),
       timer(scheduler, std::move(late)),
-      responseTimer(scheduler, [this, &signal] { stream.end(CloseReason::cutShort), signal.raise(); }) {}
+      responseTimer(scheduler, [this, &signal] { stream.close(CloseReason::incomplete), signal.raise(); }) {}
 
-Engine::Engine(Scheduler& scheduler, const LinkSettings& settings, Dispatcher& dispatcher, uint32_t id,
+Engine::Engine(Scheduler& scheduler, const ConnectionSettings& settings, Dispatcher& dispatcher, uint32_t id,
                const size_t& most, ConnectionQuota& room)
     : scheduler_(scheduler),
       settings_(settings),
@@ -44,10 +44,10 @@
 Task Engine::run() {
   while (true) {
     co_await signal_;
-    mailbox_.drain();
+    mailbox_.runAll();
     for (auto connection = connections_.begin(); connection != connections_.end();) {
       serve(**connection);
-      if ((*connection)->stream.open()) {
+      if ((*connection)->stream.isOpen()) {
         ++connection;
         continue;
       }
@@ -90,7 +90,7 @@
       finish(*connection, send, outcomeOf(CloseReason::replaced, false));
     }
     if (connection->sends.empty())
-      connection->stream.end(CloseReason::replaced);
+      connection->stream.close(CloseReason::replaced);
   }
 }
 
@@ -101,7 +101,7 @@
       return dispatcher_.sendFinished(context, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
     double now = scheduler_.now();
     // Notes on every send come at a set pace: where two of them fail to come, the engine is cut off or gone.
-    if (settings_.noteEvery > 0 && sends_ > 0 && now > quietSince_ + 2 * settings_.noteEvery)
+    if (settings_.statusInterval > 0 && sends_ > 0 && now > quietSince_ + 2 * settings_.statusInterval)
       suspectConnections();
     startSend(context, until);
   });
@@ -159,8 +159,8 @@
   }
   const CommandRequest& request = send.context->request;
   send.streamPosition = connection.stream.write(
-      engine_line::send({request.id, request.profile, request.token, request.statement,
-                         send.deadlineAt - scheduler_.now(), send.context->priority}));
+      engine_request::send({request.id, request.profile, request.token, request.statement,
+                            send.deadlineAt - scheduler_.now(), send.context->priority}));
   connection.timer.clear();
   restartSilenceTimer(send);
 }
@@ -169,8 +169,8 @@
 // it is given up then, and not only at its time-out, which may be the client's. Guards against answers that never
 // come, come after their time, or were read by nobody. Hurts where an engine is too busy to write its notes.
 void Engine::restartSilenceTimer(Send& send) {
-  if (settings_.noteEvery > 0)
-    send.silenceTimer.set(scheduler_.now() + 2 * settings_.noteEvery + settings_.connectTimeout);
+  if (settings_.statusInterval > 0)
+    send.silenceTimer.set(scheduler_.now() + 2 * settings_.statusInterval + settings_.connectTimeout);
 }
 
 std::pair<Engine::EngineConnection*, Engine::Send*> Engine::find(const RequestContext& context) {
@@ -183,7 +183,7 @@
 void Engine::reprioritise(std::shared_ptr<RequestContext> context) {
   mailbox_.post([this, context = std::move(context)] {
     if (auto [connection, send] = find(*context); send && send->streamPosition && !send->pages.hasStarted())
-      connection->stream.write(engine_line::priority(context->request.id, *context->priority));
+      connection->stream.write(engine_request::priority(context->request.id, *context->priority));
   });
 }
 
@@ -244,7 +244,7 @@
       return dispatcher_.probeFinished(id_, outcomeOf(CloseReason::replaced, false), {});
     EngineConnection* found = connectionForProbe();
     if (!found)
-      return dispatcher_.probeFinished(id_, outcomeOf(CloseReason::noDescriptor, false), {});
+      return dispatcher_.probeFinished(id_, outcomeOf(CloseReason::outOfDescriptors, false), {});
     EngineConnection& connection = *found;
     std::string tag(1, 'p');  // no id of a command begins so
     tag += std::to_string(++probes_);
@@ -258,7 +258,7 @@
     limit->set(scheduler_.now() + settings_.connectTimeout);
     connection.slot->markBusy();
     if (connection.connected)
-      connection.stream.write(engine_line::probe(tag, settings_.reports)), connection.timer.clear();
+      connection.stream.write(engine_request::probe(tag, settings_.loadReports)), connection.timer.clear();
   });
 }
 
@@ -271,7 +271,7 @@
   EngineConnection *free = nullptr, *least = nullptr;
   size_t open = 0;
   for (auto& connection : connections_) {
-    if (!connection->stream.open())
+    if (!connection->stream.isOpen())
       continue;
     ++open;
     size_t load = connection->sends.size() + connection->probes.size();
@@ -297,7 +297,7 @@
 
 Engine::EngineConnection* Engine::connectionForProbe() {
   for (auto& connection : connections_)
-    if (connection->connected && connection->stream.open() && !connection->retired && !connection->suspect)
+    if (connection->connected && connection->stream.isOpen() && !connection->retired && !connection->suspect)
       return connection.get();
   return connectionQuota_.hasFreeSlot() ? &connect() : nullptr;
 }
@@ -307,10 +307,10 @@
   made = std::make_unique<EngineConnection>(scheduler_, signal_,
                                             [this, slot = &made] { connectionTimedOut(**slot); });
   made->slot = connectionQuota_.acquire(
-      [this, connection = made.get()] { connection->stream.end(CloseReason::idle), signal_.raise(); });
+      [this, connection = made.get()] { connection->stream.close(CloseReason::idle), signal_.raise(); });
   made->timer.set(scheduler_.now() + settings_.connectTimeout);
   made->stream.connect(address_);
-  if (made->stream.closeReason() == CloseReason::noDescriptor && again && connectionQuota_.evictOther()) {
+  if (made->stream.closeReason() == CloseReason::outOfDescriptors && again && connectionQuota_.evictOther()) {
     connections_.pop_back();
     return connect(false);
   }
@@ -320,11 +320,11 @@
 
 void Engine::connectionTimedOut(EngineConnection& connection) {
   if (!connection.connected)
-    connection.stream.end(CloseReason::connectLate);
+    connection.stream.close(CloseReason::connectTimedOut);
   else if (connection.suspect)
-    connection.stream.end(CloseReason::silent);
+    connection.stream.close(CloseReason::unresponsive);
   else if (connection.sends.empty() && connection.probes.empty())
-    connection.stream.end(CloseReason::idle);
+    connection.stream.close(CloseReason::idle);
   signal_.raise();
 }
 
@@ -337,7 +337,7 @@
       continue;
     any = connection->retired = true;
     if (connection->sends.empty() && connection->probes.empty())
-      connection->stream.end(CloseReason::silent);
+      connection->stream.close(CloseReason::unresponsive);
   }
   if (!any)
     return;
@@ -350,21 +350,21 @@
 // send could cross the close.
 void Engine::setIdleIfUnused(EngineConnection& connection) {
   if (!connection.sends.empty() || !connection.probes.empty() || !connection.connected ||
-      !connection.stream.open())
+      !connection.stream.isOpen())
     return;
   if (connection.retired) {
-    connection.stream.end(CloseReason::replaced);
+    connection.stream.close(CloseReason::replaced);
     signal_.raise();
   } else {
-    connection.timer.set(scheduler_.now() +
-                         std::max(settings_.idle - settings_.connectTimeout, settings_.idle / 2));
+    connection.timer.set(scheduler_.now() + std::max(settings_.idleTimeout - settings_.connectTimeout,
+                                                     settings_.idleTimeout / 2));
     connection.slot->markIdle();
   }
 }
 
 void Engine::serve(EngineConnection& connection) {
   if (!connection.connected) {
-    if (!connection.stream.connected())
+    if (!connection.stream.isConnected())
       return;
     connection.connected = true;
     connection.timer.clear();
@@ -372,27 +372,28 @@
       write(connection, *(at++)->second);
     }
     for (auto& [tag, limit] : connection.probes)
-      connection.stream.write(engine_line::probe(tag, settings_.reports));
+      connection.stream.write(engine_request::probe(tag, settings_.loadReports));
     setIdleIfUnused(connection);
   }
   bool news = false;  // a whole answer came
   do {
-    size_t had = connection.stream.in().size();
-    connection.stream.fill();
-    if (connection.stream.in().size() > had)
+    size_t had = connection.stream.input().size();
+    connection.stream.receive();
+    if (connection.stream.input().size() > had)
       receivedFrom(connection);
-    EngineAnswer response;
-    EngineReader::State state;
-    while ((state = connection.reader.next(connection.stream.in(), response)) == EngineReader::State::whole) {
+    EngineResponse response;
+    EngineResponseParser::State state;
+    while ((state = connection.reader.next(connection.stream.input(), response)) ==
+           EngineResponseParser::State::complete) {
       news = true;
       handleResponse(connection, response);
-      if (connection.stream.closeReason() == CloseReason::garbled)
+      if (connection.stream.closeReason() == CloseReason::malformed)
         return;
     }
-    if (state == EngineReader::State::bad)
-      connection.stream.end(CloseReason::garbled);
-  } while (connection.stream.open() && connection.stream.cutShort());
-  if (!connection.stream.drained())  // the engine has read little for a while
+    if (state == EngineResponseParser::State::malformed)
+      connection.stream.close(CloseReason::malformed);
+  } while (connection.stream.isOpen() && connection.stream.inputLimited());
+  if (!connection.stream.allSent())  // the engine has read little for a while
     for (auto at = connection.sends.begin(); at != connection.sends.end();)
       if (Send& send = *(at++)->second; !mayStart(*send.context))
         finishIfNotStarted(connection, send);
@@ -404,11 +405,11 @@
 // has to come up, this one is of no further use. Guards against answers that stop short or break off without a
 // close. Hurts an engine, or a network, that stands still for that long in the middle of an answer.
 void Engine::updateResponseTimer(EngineConnection& connection, bool news) {
-  bool owed = !connection.reader.between(connection.stream.in()) ||
+  bool owed = !connection.reader.isBetweenResponses(connection.stream.input()) ||
               std::ranges::any_of(connection.sends, [](auto& held) {
                 return held.second->pages.hasStarted() && !held.second->abandonedAs;
               });
-  if (!owed || !connection.stream.open())
+  if (!owed || !connection.stream.isOpen())
     connection.responseTimer.clear();
   else if (!connection.responseIncomplete || news)
     connection.responseTimer.set(scheduler_.now() + settings_.connectTimeout);
@@ -420,14 +421,14 @@
   bool news =
       ending != CloseReason::idle && ending != CloseReason::replaced && ending != CloseReason::timedOut;
   if (news || !connection.sends.empty())
-    warn().with("engine", name()) << name() << " at " << textOf(address_)
+    warn().with("engine", name()) << name() << " at " << formatAddress(address_)
                                   << ": connection ended: " << nameOf(ending) << ", "
                                   << connection.sends.size() << " sends out";
   else
     debug().with("engine", name()) << name() << ": connection ended: " << nameOf(ending);
   while (!connection.sends.empty()) {
     Send& send = *connection.sends.begin()->second;
-    bool begun = send.streamPosition && connection.stream.begun(*send.streamPosition);
+    bool begun = send.streamPosition && connection.stream.hasStarted(*send.streamPosition);
     finish(connection, send, send.abandonedAs.value_or(outcomeOf(ending, begun)));
   }
   for (size_t left = connection.probes.size(); left > 0; --left)
@@ -435,17 +436,17 @@
 }
 
 // --- answers
-void Engine::handleResponse(EngineConnection& connection, EngineAnswer& response) {
+void Engine::handleResponse(EngineConnection& connection, EngineResponse& response) {
   if (auto probe = connection.probes.find(response.id); probe != connection.probes.end()) {
     connection.probes.erase(probe);
-    dispatcher_.probeFinished(id_, outcomeOf(response.word), response.report);
+    dispatcher_.probeFinished(id_, outcomeOf(response.kind), response.loadReport);
     return setIdleIfUnused(connection);
   }
   auto found = connection.sends.find(response.id);
   if (found == connection.sends
                    .end()) {  // to nothing asked, or a second copy: it harms nothing, unless they never end
     if (++connection.unmatchedResponses > kMostStrays)
-      connection.stream.end(CloseReason::garbled);
+      connection.stream.close(CloseReason::malformed);
     return;
   }
   connection.unmatchedResponses = 0;
@@ -453,46 +454,46 @@
   if (send.abandonedAs)
     return;  // it crossed our word
   restartSilenceTimer(send);
-  switch (response.word) {
-    case Word::note:
+  switch (response.kind) {
+    case ResponseKind::status:
       if (response.topic)
-        dispatcher_.statusReported(send.context, *response.topic, response.level);
+        dispatcher_.statusReported(send.context, *response.topic, response.topicValue);
       return;
-    case Word::answered:
-    case Word::page:
+    case ResponseKind::answered:
+    case ResponseKind::page:
       return handlePage(connection, send, response);
-    case Word::full:
-    case Word::error:
-    case Word::over:
-      return finish(connection, send, outcomeOf(response.word), response.bill, response.report);
+    case ResponseKind::overloaded:
+    case ResponseKind::error:
+    case ResponseKind::expired:
+      return finish(connection, send, outcomeOf(response.kind), response.usage, response.loadReport);
     default:
-      connection.stream.end(CloseReason::garbled);  // a probe's answer under a send's id
+      connection.stream.close(CloseReason::malformed);  // a probe's answer under a send's id
   }
 }
 
-void Engine::handlePage(EngineConnection& connection, Send& send, EngineAnswer& response) {
-  bool first = response.word == Word::answered;
-  if (first ? send.pages.hasStarted() : send.pages.hasPage(response.page))
+void Engine::handlePage(EngineConnection& connection, Send& send, EngineResponse& response) {
+  bool first = response.kind == ResponseKind::answered;
+  if (first ? send.pages.hasStarted() : send.pages.hasPage(response.pageNumber))
     return;  // a second copy
   if (!(first ? send.pages.addFirstPage(response) : send.pages.addPage(response)))
-    return connection.stream.end(CloseReason::garbled);
+    return connection.stream.close(CloseReason::malformed);
   const std::string& id = send.context->request.id;
   if (first && send.context->finished) {  // withdrawn: nobody waits for the pages
     if (send.pages.pageCount() > 1)
-      connection.stream.write(engine_line::close(id));
-    return finish(connection, send, Outcome::answered, response.bill, response.report, "");
+      connection.stream.write(engine_request::close(id));
+    return finish(connection, send, Outcome::answered, response.usage, response.loadReport, "");
   }
   if (first)
     for (int page = 1; page < send.pages.pageCount(); ++page)
-      connection.stream.write(engine_line::page(id, page));
+      connection.stream.write(engine_request::page(id, page));
   if (!send.pages.isComplete())
     return;
   if (send.pages.pageCount() > 1)
-    connection.stream.write(engine_line::close(id));
+    connection.stream.write(engine_request::close(id));
   auto rows = send.pages.rows();
   if (!rows)
-    return connection.stream.end(CloseReason::garbled);
-  finish(connection, send, Outcome::answered, response.bill, response.report, std::move(rows));
+    return connection.stream.close(CloseReason::malformed);
+  finish(connection, send, Outcome::answered, response.usage, response.loadReport, std::move(rows));
 }
 
 // The time is up, or the module has cancelled it. What has not begun to go out never ran. Else it is out
@@ -515,21 +516,21 @@
   signal_.raise();
   if (connection.sends.size() == 1) {
     finish(connection, send, what);
-    return connection.stream.end(CloseReason::timedOut);
+    return connection.stream.close(CloseReason::timedOut);
   }
-  connection.stream.write(send.pages.hasStarted() ? engine_line::close(id) : engine_line::drop(id));
+  connection.stream.write(send.pages.hasStarted() ? engine_request::close(id) : engine_request::drop(id));
   drop(connection, id);
   if (send.context->finished || now >= send.context->request.responseDeadline())
     return finish(connection, send, what);  // no further send
   send.abandonedAs = what;
   send.deadlineTimer.set(send.context->request.responseDeadline());
   if (!std::exchange(connection.suspect, true))
-    connection.timer.set(now + std::max(settings_.connectTimeout, 2 * settings_.noteEvery));
+    connection.timer.set(now + std::max(settings_.connectTimeout, 2 * settings_.statusInterval));
 }
 
 void Engine::drop(EngineConnection& connection, const std::string& id) {
   double now = scheduler_.now();
-  std::erase_if(connection.droppedAt, [&](auto& it) { return it.second < now - settings_.idle; });
+  std::erase_if(connection.droppedAt, [&](auto& it) { return it.second < now - settings_.idleTimeout; });
   connection.droppedAt[id] = now;
 }
 
--- a/src/serve/engine.h
+++ b/src/serve/engine.h
@@ -21,7 +21,7 @@
  public:
   // `most`: connections that it should do with; the fleet's number of engines decides, so it changes. `room`: those of
   // all engines together.
-  Engine(Scheduler& scheduler, const LinkSettings& settings, Dispatcher& dispatcher, uint32_t id,
+  Engine(Scheduler& scheduler, const ConnectionSettings& settings, Dispatcher& dispatcher, uint32_t id,
          const size_t& most, ConnectionQuota& room);
   ~Engine() { connectionQuota_.removeWaiter(signal_); }
 
@@ -56,7 +56,7 @@
     EngineConnection(Scheduler& scheduler, Signal& signal, std::function<void()> late);
     std::unique_ptr<ConnectionQuota::Slot> slot;
     Stream stream;
-    EngineReader reader;
+    EngineResponseParser reader;
     Timer timer;  // the connection's own: it must come up, or be heard, in time, and is closed when idle
     Timer responseTimer;              // what has been begun, or asked for and lies ready, must come in time
     bool responseIncomplete = false;  // and some of it has not
@@ -82,8 +82,8 @@
   void startWaiting();
   void endWaiting(const RequestContext& context, CloseReason ending);
   void serve(EngineConnection& connection);
-  void handleResponse(EngineConnection& connection, EngineAnswer& response);
-  void handlePage(EngineConnection& connection, Send& send, EngineAnswer& response);
+  void handleResponse(EngineConnection& connection, EngineResponse& response);
+  void handlePage(EngineConnection& connection, Send& send, EngineResponse& response);
   void updateResponseTimer(EngineConnection& connection, bool news);
   void restartSilenceTimer(Send& send);
   void connectionClosed(EngineConnection& connection);
@@ -110,7 +110,7 @@
   std::string name() const;
 
   Scheduler& scheduler_;
-  const LinkSettings& settings_;
+  const ConnectionSettings& settings_;
   Dispatcher& dispatcher_;
   uint32_t id_;
   const size_t& maxConnections_;
--- a/src/serve/listener.cpp
+++ b/src/serve/listener.cpp
@@ -40,7 +40,7 @@
     : scheduler_(scheduler),
       config_(config),
       dispatcher_(dispatcher),
-      maxConnections_(mostClients(config.sockets)),
+      maxConnections_(mostClients(config.maxDescriptors)),
       memory_{config.memoryMb * (1 << 20) / 4},
       signal_(scheduler),
       acceptRetryTimer_(scheduler, [this] { signal_.raise(); }),
@@ -51,7 +51,7 @@
       }) {}
 
 void Listener::open() {
-  listener_ = std::make_unique<Descriptor>(scheduler_, listenOn(config_.listen), signal_);
+  listener_ = std::make_unique<Descriptor>(scheduler_, listenOn(config_.listenAddress), signal_);
   task_ = run();
   task_.start();
 }
@@ -84,7 +84,7 @@
   while (true) {
     while (listener_) {
       if (clients_.size() >= maxConnections_ + kTurnedAway) {
-        co_await signal_.others();  // those that are closed leave
+        co_await signal_.afterOthers();  // those that are closed leave
         if (!listener_)
           break;  // and the time to close may have come
         if (clients_.size() >= maxConnections_ + kTurnedAway) {
@@ -98,7 +98,7 @@
     co_await signal_;
     // Connections that were open before are read first: a command that comes on a new one may have come later
     // than theirs, and commands of one key are taken in the order in which they came.
-    co_await signal_.others();
+    co_await signal_.afterOthers();
   }
 }
 
@@ -147,7 +147,7 @@
 void Listener::connectionClosed(ClientConnection* client) {
   auto held = clients_.extract(client);
   if (!held.empty())
-    scheduler_.bury(std::move(held.mapped()));
+    scheduler_.destroyLater(std::move(held.mapped()));
   endIfDone();
 }
 
--- a/src/serve/outcome.cpp
+++ b/src/serve/outcome.cpp
@@ -7,7 +7,7 @@
     return ending == CloseReason::timedOut ? Outcome::timedOut : Outcome::reset;
   switch (ending) {
     // Nothing was tried at the engine, so nothing is said of it.
-    case CloseReason::noDescriptor:
+    case CloseReason::outOfDescriptors:
     case CloseReason::replaced:
     case CloseReason::timedOut:
       return Outcome::notStarted;
@@ -16,14 +16,14 @@
   }
 }
 
-Outcome outcomeOf(Word word) {
+Outcome outcomeOf(ResponseKind word) {
   switch (word) {
-    case Word::answered:
-    case Word::well:
+    case ResponseKind::answered:
+    case ResponseKind::healthy:
       return Outcome::answered;
-    case Word::full:
+    case ResponseKind::overloaded:
       return Outcome::overloaded;
-    case Word::over:
+    case ResponseKind::expired:
       return Outcome::notStarted;  // its time was up when it came: it never ran
     default:
       return Outcome::error;
--- a/src/serve/outcome.h
+++ b/src/serve/outcome.h
@@ -1,7 +1,7 @@
 // Every way in which a connection, or an exchange on it, can end.
 #pragma once
 #include "policy.h"
-#include "protocol/engine_lines.h"
+#include "protocol/engine_protocol.h"
 #include "runtime/close_reason.h"
 
 namespace elmcleat {
@@ -9,6 +9,6 @@
 // What the module is told of a send whose connection ended; `begun`: its first byte had gone out.
 Outcome outcomeOf(CloseReason ending, bool begun);
 // What it is told of a send, or a probe, that the engine answered.
-Outcome outcomeOf(Word word);
+Outcome outcomeOf(ResponseKind word);
 
 }  // namespace elmcleat
--- a/src/serve/request_parser.cpp
+++ b/src/serve/request_parser.cpp
@@ -99,7 +99,7 @@
   } else if (profile->retrySafety == RetrySafety::deduplicated) {
     return refuse(400, "Req-Token is missing");  // without it engines could not know a repeat
   }
-  command.tableGroup = tablesOf(request.body).value_or(0);
+  command.tableGroup = tableGroupOf(request.body).value_or(0);
   command.statement = std::move(request.body);
   return {std::move(command), 0, ""};
 }
--- a/src/serve/response.cpp
+++ b/src/serve/response.cpp
@@ -3,21 +3,21 @@
 #include <utility>
 
 #include "protocol/http.h"
-#include "protocol/rows.h"
+#include "protocol/result_rows.h"
 
 namespace elmcleat {
 
-bool ResultAssembler::addFirstPage(EngineAnswer& response) {
+bool ResultAssembler::addFirstPage(EngineResponse& response) {
   // A page holds a byte at least, so a number beyond that of the bytes is no number of pages.
-  if (hasStarted() || static_cast<size_t>(response.pages) > kMaxResultBytes)
+  if (hasStarted() || static_cast<size_t>(response.pageCount) > kMaxResultBytes)
     return false;
-  pages_.resize(static_cast<size_t>(response.pages));
+  pages_.resize(static_cast<size_t>(response.pageCount));
   missing_ = pages_.size();
   return storePage(0, response.body);
 }
 
-bool ResultAssembler::addPage(EngineAnswer& response) {
-  return storePage(static_cast<size_t>(response.page), response.body);
+bool ResultAssembler::addPage(EngineResponse& response) {
+  return storePage(static_cast<size_t>(response.pageNumber), response.body);
 }
 
 bool ResultAssembler::storePage(size_t number, std::string& page) {
@@ -44,16 +44,16 @@
   return names[static_cast<int>(kind)];
 }
 
-std::string httpAnswer(const Response& response, bool keepAlive) {
+std::string formatHttpResponse(const Response& response, bool keepAlive) {
   switch (response.kind) {
     case Response::Kind::served:
-      return httpAnswer(200, "{\"records\":" + response.rows + "}", keepAlive);
+      return formatHttpResponse(200, "{\"records\":" + response.rows + "}", keepAlive);
     case Response::Kind::shed:
-      return httpAnswer(503, R"({"problem":"Busy"})", keepAlive, response.retryAfter);
+      return formatHttpResponse(503, R"({"problem":"Busy"})", keepAlive, response.retryAfter);
     case Response::Kind::failed:
       break;
   }
-  return httpAnswer(500, R"({"problem":"Failed"})", keepAlive);
+  return formatHttpResponse(500, R"({"problem":"Failed"})", keepAlive);
 }
 
 }  // namespace elmcleat
--- a/src/serve/response.h
+++ b/src/serve/response.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "protocol/engine_lines.h"
+#include "protocol/engine_protocol.h"
 
 namespace elmcleat {
 
@@ -22,8 +22,8 @@
   static constexpr size_t kMaxResultBytes = 48'000;  // of one result
 
   // Each is false if the page can't belong to this result.
-  bool addFirstPage(EngineAnswer& response);
-  bool addPage(EngineAnswer& response);
+  bool addFirstPage(EngineResponse& response);
+  bool addPage(EngineResponse& response);
   bool hasStarted() const { return !pages_.empty(); }
   bool hasPage(int page) const { return static_cast<size_t>(page) < pages_.size() && pages_[size_t(page)]; }
   bool isComplete() const { return hasStarted() && missing_ == 0; }
@@ -38,6 +38,6 @@
 };
 
 const char* nameOf(Response::Kind kind);
-std::string httpAnswer(const Response& response, bool keepAlive);
+std::string formatHttpResponse(const Response& response, bool keepAlive);
 
 }  // namespace elmcleat
--- a/src/view/engine_subset.cpp
+++ b/src/view/engine_subset.cpp
@@ -14,12 +14,12 @@
 }
 
 // By id, each once: the last counts.
-std::vector<const Listing*> lastOfEach(const std::vector<Listing>& rows) {
-  std::vector<const Listing*> last;
+std::vector<const ListedEngine*> lastOfEach(const std::vector<ListedEngine>& rows) {
+  std::vector<const ListedEngine*> last;
   last.reserve(rows.size());
   for (auto& row : rows)
     last.push_back(&row);
-  auto id = [](const Listing* row) { return row->row.id; };
+  auto id = [](const ListedEngine* row) { return row->record.id; };
   if (!std::ranges::is_sorted(last, {}, id))
     std::ranges::stable_sort(last, {}, id);
   auto end = last.begin();
@@ -72,23 +72,24 @@
   return at->second;
 }
 
-EngineSubset::Entry EngineSubset::entryOf(const Listing& listing, double now) {
+EngineSubset::Entry EngineSubset::entryOf(const ListedEngine& listing, double now) {
   Entry entry;
-  entry.id = listing.row.id, entry.host = listing.address.host, entry.port = listing.address.port;
-  entry.bornMs = listing.bornMs, entry.cell = listing.row.cell, entry.state = listing.row.state;
-  entry.make = makeOf(listing.row.zone, listing.row.kind);
+  entry.id = listing.record.id, entry.host = listing.address.host, entry.port = listing.address.port;
+  entry.bornMs = listing.startedAtUnixMs, entry.cell = listing.record.cell,
+  entry.state = listing.record.state;
+  entry.make = makeOf(listing.record.zone, listing.record.kind);
   entry.cold = entry.bornMs > 0 && now < warmAt(entry.bornMs);
   return entry;
 }
 
-Listing EngineSubset::listingOf(const Entry& entry) const {
-  Listing listing;
+ListedEngine EngineSubset::listingOf(const Entry& entry) const {
+  ListedEngine listing;
   const EngineType& make = makes_[entry.make];
-  listing.row.id = entry.id, listing.row.zone = make.zone, listing.row.kind = make.kind;
-  listing.row.cell = entry.cell, listing.row.state = entry.state;
-  listing.address = {entry.host, entry.port}, listing.bornMs = entry.bornMs;
+  listing.record.id = entry.id, listing.record.zone = make.zone, listing.record.kind = make.kind;
+  listing.record.cell = entry.cell, listing.record.state = entry.state;
+  listing.address = {entry.host, entry.port}, listing.startedAtUnixMs = entry.bornMs;
   if (entry.rank < base_)
-    listing.row.rank = entry.rank;
+    listing.record.rank = entry.rank;
   return listing;
 }
 
@@ -129,7 +130,7 @@
   entry.ranked = entry.rank < cap;
 }
 
-void EngineSubset::update(Entry& entry, const Listing& listing, double now) {
+void EngineSubset::update(Entry& entry, const ListedEngine& listing, double now) {
   Entry next = entryOf(listing, now);
   bool same = next.host == entry.host && next.port == entry.port && next.bornMs == entry.bornMs;
   if (same && next.make == entry.make && next.cell == entry.cell && next.state == entry.state)
@@ -150,20 +151,21 @@
 
 // The table moves once an event, as bytes: 1.4 MB at 44,000 engines. A whole list is compared row by row;
 // what is the same costs that comparison and nothing else.
-std::vector<Listing> EngineSubset::apply(const ListEvent& event, double now) {
+std::vector<ListedEngine> EngineSubset::apply(const EngineListEvent& event, double now) {
   Changes changes;
   std::vector<Entry> fresh;
   bool gone = false;
   auto drop = [&](Entry& entry) { remove(entry, changes), gone = true; };
   auto at = table_.begin();
-  for (const Listing* row : lastOfEach(event.rows)) {
-    if (event.whole)
-      for (; at != table_.end() && at->id < row->row.id; ++at)
+  for (const ListedEngine* row : lastOfEach(event.engines)) {
+    if (event.isFullList)
+      for (; at != table_.end() && at->id < row->record.id; ++at)
         drop(*at);
     else
-      at =
-          std::lower_bound(at, table_.end(), row->row.id, [](auto& entry, auto id) { return entry.id < id; });
-    bool known = at != table_.end() && at->id == row->row.id, stays = row->row.state != EngineState::removed;
+      at = std::lower_bound(at, table_.end(), row->record.id,
+                            [](auto& entry, auto id) { return entry.id < id; });
+    bool known = at != table_.end() && at->id == row->record.id,
+         stays = row->record.state != EngineState::removed;
     if (known && stays)
       update(*at, *row, now);
     if (known && !stays)
@@ -174,7 +176,7 @@
     }
     at += known;
   }
-  if (event.whole)
+  if (event.isFullList)
     for (; at != table_.end(); ++at)
       drop(*at);
 
@@ -239,10 +241,10 @@
   if (entry.state == EngineState::inService)
     used_ += size_t(int(is) - int(entry.inSubset));
   entry.inSubset = is;
-  Listing& told = changes.emplace_back(listingOf(entry));
+  ListedEngine& told = changes.emplace_back(listingOf(entry));
   if (is)
     return;
-  told.row.state = EngineState::removed;
+  told.record.state = EngineState::removed;
   // Nobody looks at it any more. No class is short of engines as far out as that: none comes to count on it.
   if (entry.ejected)
     index(entry, false), entry.ejected = false, index(entry, true);
@@ -289,7 +291,7 @@
   due_ = true;
 }
 
-std::vector<Listing> EngineSubset::tick(double now) {
+std::vector<ListedEngine> EngineSubset::tick(double now) {
   Changes changes;
   settle(now, changes);
   return changes;
--- a/src/view/engine_subset.h
+++ b/src/view/engine_subset.h
@@ -46,10 +46,10 @@
   // as the list has them, with its place among their users (none: they are in view because it is wide), and those
   // that leave it (state: gone). A whole list
   // that changes nothing tells nothing.
-  std::vector<Listing> apply(const ListEvent& event, double now);
-  void setEjected(uint32_t engine, bool is);  // the module has found an engine in view unfit, or fit again
-  std::vector<Listing> tick(double now);      // at nextWakeUp(), and after setEjected()
-  double nextWakeUp() const;                  // HUGE_VAL: not before something is told
+  std::vector<ListedEngine> apply(const EngineListEvent& event, double now);
+  void setEjected(uint32_t engine, bool is);   // the module has found an engine in view unfit, or fit again
+  std::vector<ListedEngine> tick(double now);  // at nextWakeUp(), and after setEjected()
+  double nextWakeUp() const;                   // HUGE_VAL: not before something is told
 
   // A class that can't be served here although the list has engines for it: told once until it can.
   std::vector<std::string> takeWarnings();
@@ -75,15 +75,15 @@
     bool changed : 1 = false;  // since it was told
   };
   static_assert(sizeof(Entry) == 32);  // with what vectors keep in reserve and near_ well within 64 an engine
-  using Changes = std::vector<Listing>;
+  using Changes = std::vector<ListedEngine>;
 
   uint16_t makeOf(const std::string& zone, const std::string& kind);
-  Entry entryOf(const Listing& listing, double now);
-  Listing listingOf(const Entry& entry) const;
+  Entry entryOf(const ListedEngine& listing, double now);
+  ListedEngine listingOf(const Entry& entry) const;
   Entry* find(uint32_t id);
   double warmAt(int64_t bornMs) const { return double(bornMs) / 1000 + settings_.coldDuration; }
 
-  void update(Entry& entry, const Listing& listing, double now);
+  void update(Entry& entry, const ListedEngine& listing, double now);
   void remove(Entry& entry, Changes& changes);
   void list(const Entry& entry, int by);  // count it among those in service, or no longer
   void index(Entry& entry, bool is);      // what is kept by place
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -2,12 +2,12 @@
 
 #include <algorithm>
 
-#include "config/gateway.h"
+#include "config/gateway_config.h"
 
 using namespace elmcleat;
 
 TEST_CASE("the example of a gateway file is read as it stands") {
-  auto config = readGateway(std::string(EXAMPLES) + "gateway.example.json");
+  auto config = readGatewayConfig(std::string(EXAMPLES) + "gateway.example.json");
   REQUIRE(config.budgets);
   const budget::BudgetSettings& plan = *config.budgets;
   CHECK_EQ(plan.actorHeader, "X-User");
@@ -18,16 +18,16 @@
   CHECK_EQ(plan.entries[1].settings.burst, 5);
   CHECK_EQ(plan.entries[1].settings.agingThreshold, 2);                 // the default's
   CHECK_EQ(budget::parentOf(plan, plan.entries[2]), &plan.entries[1]);  // by its path
-  CHECK_FALSE(readGateway(Json::object(), "empty").budgets);
+  CHECK_FALSE(readGatewayConfig(Json::object(), "empty").budgets);
 }
 
 TEST_CASE("the example of a fleet's file: members, and the rates that they share") {
-  auto config = readGateway(std::string(EXAMPLES) + "gateway.members.example.json");
-  REQUIRE((config.members && config.budgets && config.shared));
+  auto config = readGatewayConfig(std::string(EXAMPLES) + "gateway.members.example.json");
+  REQUIRE((config.members && config.budgets && config.leases));
   CHECK_EQ(config.members->peers[2].name, "n3");
-  CHECK_EQ(textOf(config.members->peers[2].address), "10.0.0.6:4300");
-  CHECK_EQ(config.shared->memberCount, 3);
-  CHECK((config.shared->quotas == std::vector<double>{16, 8, 20}));
+  CHECK_EQ(formatAddress(config.members->peers[2].address), "10.0.0.6:4300");
+  CHECK_EQ(config.leases->memberCount, 3);
+  CHECK((config.leases->quotas == std::vector<double>{16, 8, 20}));
   auto rates = budget::fleetRates(*config.budgets);
   CHECK_EQ(rates[2].name(), "partners#ceiling");
 }
@@ -37,9 +37,9 @@
     {"name": "a", "ceiling": {"core": 1}}, {"name": "b", "parent": "c"}, {"parent": "a"}]}})");
   std::vector<std::string> lines;
   try {
-    readGateway(document, "f.json");
-  } catch (const Faults& faults) {
-    lines = faults.lines;
+    readGatewayConfig(document, "f.json");
+  } catch (const ValidationErrors& errors) {
+    lines = errors.messages;
   }
   auto told = [&](const char* start) {
     return std::ranges::count_if(lines, [&](auto& line) { return line.starts_with(start); });
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -130,7 +130,7 @@
 
 TEST_CASE("a scenario's faults come all at once") {
   std::string path = std::string(SCENARIOS) + "../../build-none.json";
-  CHECK_THROWS_AS(readScenario(path), Faults);
+  CHECK_THROWS_AS(readScenario(path), ValidationErrors);
 }
 
 TEST_CASE("a view bounds who uses an engine; a zone alone is lost, and a roll replaces its part in steps") {
--- a/tests/members_scale_test.cpp
+++ b/tests/members_scale_test.cpp
@@ -136,5 +136,5 @@
   CHECK_EQ(plan.sizes, std::vector{38, 150, 600, 2400});
   CHECK_EQ(plan.seeds.size(), plan.sizes.size());
   CHECK(std::ranges::any_of(plan.scenes, [](auto& one) { return one.kind == Kind::restarts; }));
-  CHECK_THROWS_AS(readMembersPlan(std::string(PLAN) + ".absent"), Faults);
+  CHECK_THROWS_AS(readMembersPlan(std::string(PLAN) + ".absent"), ValidationErrors);
 }
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -40,7 +40,7 @@
   } left{trace, name};
   while (true) {
     co_await signal;
-    mailbox.drain();
+    mailbox.runAll();
     trace << name << " ran;";
   }
 }
@@ -145,22 +145,22 @@
   Stream stream(loop.scheduler, signal, 4, 1 << 20);
   stream.adopt(ends[0]);
   REQUIRE_EQ(::write(ends[1], "abcdef", 6), 6);
-  CHECK(stream.fill());
-  CHECK(stream.cutShort());
-  CHECK_EQ(stream.in(), "abcd");
-  stream.in().clear();
-  CHECK(stream.fill());
-  CHECK_EQ(stream.in(), "ef");
+  CHECK(stream.receive());
+  CHECK(stream.inputLimited());
+  CHECK_EQ(stream.input(), "abcd");
+  stream.input().clear();
+  CHECK(stream.receive());
+  CHECK_EQ(stream.input(), "ef");
   uint64_t sent = stream.write("one"), queued = stream.write(std::string(900'000, 'x'));
   stream.flush();
   uint64_t waits = stream.write("two");
-  CHECK(stream.begun(sent));
-  CHECK(stream.begun(queued));
+  CHECK(stream.hasStarted(sent));
+  CHECK(stream.hasStarted(queued));
   CHECK_FALSE(stream.withdraw(queued));
-  CHECK_FALSE(stream.begun(waits));
+  CHECK_FALSE(stream.hasStarted(waits));
   CHECK(stream.withdraw(waits));
   stream.write(std::string(1 << 20, 'x'));
-  CHECK_EQ(int(stream.closeReason()), int(CloseReason::overfull));
+  CHECK_EQ(int(stream.closeReason()), int(CloseReason::bufferFull));
   ::close(ends[1]);
 }
 
@@ -201,7 +201,8 @@
     REQUIRE_EQ(::bind(listener, reinterpret_cast<sockaddr*>(&native), size), 0);
     REQUIRE_EQ(::listen(listener, 5), 0);
     ::getsockname(listener, reinterpret_cast<sockaddr*>(&native), &size);
-    links.sendsPerConnection = 2, links.connectTimeout = 5, links.idle = 15;
+    connectionSettings.sendsPerConnection = 2, connectionSettings.connectTimeout = 5,
+    connectionSettings.idleTimeout = 15;
     engine.setAddress({INADDR_LOOPBACK, ntohs(native.sin_port)}, std::nullopt);
     ticket->responder = &client;  // what nobody waits for does not go out
     ticket->request.id = "9b1f", ticket->request.profile = "quick", ticket->request.statement = "x";
@@ -214,12 +215,12 @@
   }
   Loop loop;
   Settings settings;
-  LinkSettings links;
+  ConnectionSettings connectionSettings;
   int listener, peer = -1;
   Dispatcher dispatcher;
   size_t most = 1;
   ConnectionQuota room;
-  Engine engine{loop.scheduler, links, dispatcher, 7, most, room};
+  Engine engine{loop.scheduler, connectionSettings, dispatcher, 7, most, room};
   Waits client;
   std::shared_ptr<RequestContext> ticket = std::make_shared<RequestContext>();
 };
@@ -254,7 +255,7 @@
   auto count = [](Scheduler& scheduler, int from, int& passed) -> Task {
     Signal signal(scheduler);
     for (char text[200]; ::recv(from, text, sizeof text, MSG_DONTWAIT) != 0; ++passed)
-      co_await signal.others();
+      co_await signal.afterOthers();
     scheduler.stop();
   };
   Task task = count(one.loop.scheduler, one.peer, turns);
@@ -274,7 +275,8 @@
   REQUIRE_EQ(::bind(probe, reinterpret_cast<sockaddr*>(&native), size), 0);
   ::getsockname(probe, reinterpret_cast<sockaddr*>(&native), &size);
   ::close(probe);
-  config.listen = {INADDR_LOOPBACK, ntohs(native.sin_port)}, config.sockets = 96, config.memoryMb = 192;
+  config.listenAddress = {INADDR_LOOPBACK, ntohs(native.sin_port)}, config.maxDescriptors = 96,
+  config.memoryMb = 192;
   Dispatcher dispatcher(loop.scheduler, config.settings, 1);
   Listener door(loop.scheduler, config, dispatcher);
   door.open();
@@ -288,7 +290,7 @@
   auto stall = [](Scheduler& scheduler, double until) -> Task {  // in the second turn, past that time
     Signal signal(scheduler);
     for (int turn = 0; turn < 2; ++turn)
-      co_await signal.others();
+      co_await signal.afterOthers();
     while (scheduler.now() < until)
       ::usleep(1000);
   };
@@ -314,15 +316,16 @@
       "overfull: connectFailed, reset; idle: connectFailed, reset; silent: connectFailed, reset; cut short: "
       "connectFailed, reset; replaced: unused, reset; timed out: unused, expired; ");
   told.str("");
-  for (auto word : {Word::answered, Word::full, Word::error, Word::over, Word::well, Word::sick})
+  for (auto word : {ResponseKind::answered, ResponseKind::overloaded, ResponseKind::error,
+                    ResponseKind::expired, ResponseKind::healthy, ResponseKind::unhealthy})
     told << outcomeName(outcomeOf(word)) << " ";
   CHECK_EQ(told.str(), "answered full error unused answered error ");
 }
 
 TEST_CASE("pages are gathered in any order, and only what belongs together") {
   auto page = [](int number, const char* body, int pages = 1) {
-    EngineAnswer answer;
-    answer.page = number, answer.pages = pages, answer.body = body;
+    EngineResponse answer;
+    answer.pageNumber = number, answer.pageCount = pages, answer.body = body;
     return answer;
   };
   auto first = page(0, "a\tb\tc\n", 3), last = page(2, "g\th\ti\n"), middle = page(1, "d\te\tf\n");
@@ -396,15 +399,15 @@
 TEST_CASE("the configuration") {
   Config config = readConfig(configJson());
   CHECK_EQ(config.seed, 0x8c1f30d27a5be964);
-  CHECK_EQ(config.links.sendsPerConnection, 32);
-  CHECK_EQ(config.links.connectTimeout, 0.25);
-  CHECK(config.links.reports);
-  REQUIRE_EQ(config.known.size(), 3);
-  CHECK(config.known[0].whole);
-  CHECK_EQ(config.known[0].rows[0].row.id, 0xc41f7a);
-  CHECK_EQ(config.known[0].rows[0].bornMs, 5);
-  CHECK_EQ(int(config.known[1].rows[0].row.state), int(EngineState::removed));
-  CHECK_EQ(config.known[2].number, 3);  // so many are known, though the last ones held no news
+  CHECK_EQ(config.connectionSettings.sendsPerConnection, 32);
+  CHECK_EQ(config.connectionSettings.connectTimeout, 0.25);
+  CHECK(config.connectionSettings.loadReports);
+  REQUIRE_EQ(config.initialEvents.size(), 3);
+  CHECK(config.initialEvents[0].isFullList);
+  CHECK_EQ(config.initialEvents[0].engines[0].record.id, 0xc41f7a);
+  CHECK_EQ(config.initialEvents[0].engines[0].startedAtUnixMs, 5);
+  CHECK_EQ(int(config.initialEvents[1].engines[0].record.state), int(EngineState::removed));
+  CHECK_EQ(config.initialEvents[2].sequence, 3);  // so many are known, though the last ones held no news
 }
 
 TEST_CASE("what is wrong with the configuration is told by the key's name") {
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -5,9 +5,9 @@
 
 #include "protocol/address.h"
 #include "protocol/change_log.h"
-#include "protocol/engine_lines.h"
+#include "protocol/engine_protocol.h"
 #include "protocol/http.h"
-#include "protocol/rows.h"
+#include "protocol/result_rows.h"
 #include "protocol/statement.h"
 
 using namespace elmcleat;
@@ -39,16 +39,16 @@
 }
 
 Tell httpTell() {
-  return [reader = HttpReader()](std::string& bytes) mutable {
+  return [reader = HttpRequestParser()](std::string& bytes) mutable {
     std::string told;
     HttpRequest request;
     while (true) {
       auto state = reader.next(bytes, request);
-      if (state == HttpReader::State::more)
+      if (state == HttpRequestParser::State::needMore)
         return told;
-      if (state == HttpReader::State::continues)
+      if (state == HttpRequestParser::State::expectsContinue)
         continue;
-      if (state == HttpReader::State::bad)
+      if (state == HttpRequestParser::State::malformed)
         return told + "bad " + std::to_string(reader.status());
       told += request.method + " " + request.path + " [" + request.body + "]";
       if (auto* id = request.header("req-id"))
@@ -59,47 +59,48 @@
 }
 
 Tell engineTell() {
-  return [reader = EngineReader()](std::string& bytes) mutable {
+  return [reader = EngineResponseParser()](std::string& bytes) mutable {
     std::string told;
-    EngineAnswer answer;
+    EngineResponse answer;
     while (true) {
       auto state = reader.next(bytes, answer);
-      if (state == EngineReader::State::more)
+      if (state == EngineResponseParser::State::needMore)
         return told;
-      if (state == EngineReader::State::bad)
+      if (state == EngineResponseParser::State::malformed)
         return told + "bad";
-      told += answer.id + " " + std::to_string(int(answer.word)) + " pages " + std::to_string(answer.pages) +
-              " page " + std::to_string(answer.page) + " [" + answer.body + "]";
+      told += answer.id + " " + std::to_string(int(answer.kind)) + " pages " +
+              std::to_string(answer.pageCount) + " page " + std::to_string(answer.pageNumber) + " [" +
+              answer.body + "]";
       if (answer.topic)
-        told += " note " + std::to_string(int(*answer.topic)) + "=" + std::to_string(answer.level);
-      if (answer.report)
-        told += " in hand " + std::to_string(answer.report->inFlight.value_or(-1));
-      if (answer.bill)
-        told += " work " + std::to_string(answer.bill->work);
+        told += " note " + std::to_string(int(*answer.topic)) + "=" + std::to_string(answer.topicValue);
+      if (answer.loadReport)
+        told += " in hand " + std::to_string(answer.loadReport->inFlight.value_or(-1));
+      if (answer.usage)
+        told += " work " + std::to_string(answer.usage->work);
       told += ";";
     }
   };
 }
 
 Tell frameTell() {
-  return [reader = FrameReader({"east", "west"}, {"std", "big"})](std::string& bytes) {
+  return [reader = FrameParser({"east", "west"}, {"std", "big"})](std::string& bytes) {
     std::string told;
-    ListEvent event;
+    EngineListEvent event;
     while (true) {
       auto state = reader.next(bytes, event);
-      if (state == FrameReader::State::more)
+      if (state == FrameParser::State::needMore)
         return told;
-      if (state == FrameReader::State::bad)
+      if (state == FrameParser::State::malformed)
         return told + "bad";
-      if (state == FrameReader::State::nothingNew) {
+      if (state == FrameParser::State::heartbeat) {
         told += "nothing new;";
         continue;
       }
-      told += std::to_string(event.number) + (event.whole ? " whole" : " changes");
-      for (auto& one : event.rows)
-        told += " " + std::to_string(one.row.id) + "@" + textOf(one.address) + " " + one.row.zone + "/" +
-                one.row.kind + "/" + std::to_string(one.row.cell) + " state " +
-                std::to_string(int(one.row.state)) + " born " + std::to_string(one.bornMs);
+      told += std::to_string(event.sequence) + (event.isFullList ? " whole" : " changes");
+      for (auto& one : event.engines)
+        told += " " + std::to_string(one.record.id) + "@" + formatAddress(one.address) + " " +
+                one.record.zone + "/" + one.record.kind + "/" + std::to_string(one.record.cell) + " state " +
+                std::to_string(int(one.record.state)) + " born " + std::to_string(one.startedAtUnixMs);
       told += ";";
     }
   };
@@ -133,13 +134,13 @@
 }
 
 TEST_CASE("a client that waits for leave to send its body is told once") {
-  HttpReader reader;
+  HttpRequestParser reader;
   HttpRequest request;
   std::string bytes = "POST /do/x HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
-  CHECK_EQ(int(reader.next(bytes, request)), int(HttpReader::State::continues));
-  CHECK_EQ(int(reader.next(bytes, request)), int(HttpReader::State::more));
+  CHECK_EQ(int(reader.next(bytes, request)), int(HttpRequestParser::State::expectsContinue));
+  CHECK_EQ(int(reader.next(bytes, request)), int(HttpRequestParser::State::needMore));
   bytes = "ab";
-  CHECK_EQ(int(reader.next(bytes, request)), int(HttpReader::State::whole));
+  CHECK_EQ(int(reader.next(bytes, request)), int(HttpRequestParser::State::complete));
   CHECK_EQ(request.body, "ab");
 }
 
@@ -156,13 +157,13 @@
     CHECK_EQ(whole(httpTell, text), "bad 400");
   CHECK_EQ(whole(httpTell, head("Content-Length: 200000")), "bad 413");
   CHECK_EQ(whole(httpTell, head("Transfer-Encoding: chunked") + "ffffff\r\n"), "bad 413");
-  CHECK_EQ(whole(httpTell, head("A: " + std::string(HttpReader::kMostHead, 'a'))), "bad 431");
-  CHECK_EQ(whole(httpTell, std::string(HttpReader::kMostHead + 1, 'a')), "bad 431");
+  CHECK_EQ(whole(httpTell, head("A: " + std::string(HttpRequestParser::kMaxHeadBytes, 'a'))), "bad 431");
+  CHECK_EQ(whole(httpTell, std::string(HttpRequestParser::kMaxHeadBytes + 1, 'a')), "bad 431");
   CHECK_EQ(whole(httpTell, head("Expect: cake")), "bad 417");
 }
 
 TEST_CASE("answers to clients") {
-  CHECK_EQ(httpAnswer(503, "{}", false, 0.2),
+  CHECK_EQ(formatHttpResponse(503, "{}", false, 0.2),
            "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 2\r\n"
            "Retry-After: 1\r\nConnection: close\r\n\r\n{}");
 }
@@ -170,7 +171,7 @@
 TEST_CASE("the group of tables of a statement") {
   auto is = [](const char* statement, std::optional<uint64_t> group) {
     INFO(statement);
-    CHECK_EQ(tablesOf(statement).value_or(999), group.value_or(999));
+    CHECK_EQ(tableGroupOf(statement).value_or(999), group.value_or(999));
   };
   is("SELECT day, max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day", 17);
   is("select * from staging.x join sales_4.orders on true", 4);
@@ -209,16 +210,17 @@
                     "x PART fetch_no=-1 0\r\n", "x INFO figure=nan 0\r\n", "x HIT - 48001\r\n",
                     "x HIT - 2\r\nabcd", "x HIT =1 0\r\n", "x PONG meter=inflight 0\r\n"})
     CHECK_MESSAGE(whole(engineTell, text) == "bad", text);
-  CHECK_EQ(whole(engineTell, std::string(EngineReader::kMostLine + 1, 'x')), "bad");
+  CHECK_EQ(whole(engineTell, std::string(EngineResponseParser::kMaxLineBytes + 1, 'x')), "bad");
 }
 
 TEST_CASE("lines to engines") {
-  CHECK_EQ(engine_line::send({"9b1f", "report", "", "SELECT", 1.4995, std::nullopt}),
+  CHECK_EQ(engine_request::send({"9b1f", "report", "", "SELECT", 1.4995, std::nullopt}),
            "GET 9b1f cls=report,limit=1500 6\r\nSELECT\r\n");
-  CHECK_EQ(engine_line::send({"9b1f", "load", "5c0f", "", 0, 3}),
+  CHECK_EQ(engine_request::send({"9b1f", "load", "5c0f", "", 0, 3}),
            "GET 9b1f cls=load,limit=1,nonce=5c0f,weight=3 0\r\n\r\n");
-  CHECK_EQ(engine_line::drop("a") + engine_line::priority("a", 2) + engine_line::page("a", 4) +
-               engine_line::close("a") + engine_line::probe("p1", true) + engine_line::probe("p2", false),
+  CHECK_EQ(engine_request::drop("a") + engine_request::priority("a", 2) + engine_request::page("a", 4) +
+               engine_request::close("a") + engine_request::probe("p1", true) +
+               engine_request::probe("p2", false),
            "DROP a\r\nRANK a 2\r\nPAGE a 4\r\nCLOSE a\r\nLOAD p1\r\nPING p2\r\n");
 }
 
@@ -228,7 +230,7 @@
               "1 whole 7@10.1.0.9:4100 west/std/2 state 0 born 1700000000123 "
               "8@10.1.0.9:4100 east/big/2 state 1 born 1700000000123;nothing new;"
               "2 changes 7@10.1.0.9:4100 west/std/2 state 2 born 1700000000123;");
-  CHECK_EQ(resumeFrom(0x0102030405060708), big(0x0102030405060708, 8));
+  CHECK_EQ(encodeResumeRequest(0x0102030405060708), big(0x0102030405060708, 8));
 }
 
 TEST_CASE("frames of the change log that are damaged") {
@@ -257,8 +259,8 @@
 }
 
 TEST_CASE("addresses") {
-  CHECK_EQ(textOf(*readAddress("10.0.255.4:4100")), "10.0.255.4:4100");
+  CHECK_EQ(formatAddress(*parseAddress("10.0.255.4:4100")), "10.0.255.4:4100");
   for (auto text : {"", "10.0.0:1", "10.0.0.256:1", "10.0.0.1", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0.1:1x",
                     "a.b.c.d:1", "10.0.0.1:-1"})
-    CHECK_FALSE(readAddress(text));
+    CHECK_FALSE(parseAddress(text));
 }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -47,8 +47,8 @@
 std::vector<std::string> faultsOf(const std::function<void()>& act) {
   try {
     act();
-  } catch (const Faults& faults) {
-    return faults.lines;
+  } catch (const ValidationErrors& errors) {
+    return errors.messages;
   }
   return {};
 }
@@ -120,19 +120,19 @@
   CHECK(read.machine["cores"] == file.machine["cores"]);
   Json document = readJson(folder.path + "a.json");
   document["figures"][0]["xs"][0] = "many";
-  auto faults = faultsOf([&] { readFigures(folder.write("b.json", document.dump())); });
-  REQUIRE_FALSE(faults.empty());
-  CHECK(faults[0].find("xs") != std::string::npos);
+  auto errors = faultsOf([&] { readFigures(folder.write("b.json", document.dump())); });
+  REQUIRE_FALSE(errors.empty());
+  CHECK(errors[0].find("xs") != std::string::npos);
   document["figures"][0]["xs"] = {344};
   CHECK(faultsOf([&] { readFigures(folder.write("b.json", document.dump())); }).size() == 1);
 }
 
 TEST_CASE("A plan's faults name their key") {
   Folder folder;
-  auto faults = [&](const Json& document) {
+  auto errors = [&](const Json& document) {
     return faultsOf([&] { readScalePlan(folder.write("p.json", document.dump())); });
   };
-  CHECK(faults(plan()).empty());
+  CHECK(errors(plan()).empty());
   for (auto& [at, value] : std::vector<std::pair<std::string, Json>>{{"/mostSeconds", 100000},
                                                                      {"/real", 9},
                                                                      {"/runs/0/engines/0", 100000},
@@ -141,7 +141,7 @@
                                                                      {"/surprise", 1}}) {
     Json bad = plan();
     bad[Json::json_pointer(at)] = value;
-    auto found = faults(bad);
+    auto found = errors(bad);
     CAPTURE(at);
     CHECK_FALSE(found.empty());
   }
--- a/tests/threads_test.cpp
+++ b/tests/threads_test.cpp
@@ -16,17 +16,17 @@
   struct Pair {
     uint64_t one, two;
   };
-  Latest<Pair> latest;
-  CHECK_EQ(latest.get(), nullptr);
+  LatestValue<Pair> latest;
+  CHECK_EQ(latest.read(), nullptr);
   constexpr uint64_t kCount = 100'000;
   std::thread writer([&] {
     for (uint64_t i = 1; i <= kCount; ++i)
-      latest.put(std::make_unique<const Pair>(Pair{i, ~i}));
+      latest.publish(std::make_unique<const Pair>(Pair{i, ~i}));
   });
   uint64_t last = 0;
   bool whole = true, onward = true;
   while (last < kCount) {
-    const Pair* pair = latest.get();
+    const Pair* pair = latest.read();
     if (!pair)
       continue;
     whole = whole && pair->two == ~pair->one, onward = onward && pair->one >= last;
@@ -35,7 +35,7 @@
   writer.join();
   CHECK(whole);
   CHECK(onward);
-  CHECK_EQ(latest.get()->one, kCount);  // and it stays until there is another
+  CHECK_EQ(latest.read()->one, kCount);  // and it stays until there is another
 }
 
 TEST_CASE("two control threads find each other, tell their views, and end when told") {
