--- a/tests/view_cases_test.cpp
+++ b/tests/view_cases_test.cpp
@@ -19,7 +19,7 @@
     for (auto& [id, told] : before.engines)
       here += !after.engines.contains(id);
     for (auto& [id, told] : after.engines)
-      gained += told.row.rank.has_value() && !before.engines.contains(id);
+      gained += told.record.rank.has_value() && !before.engines.contains(id);
     lost += here, most = std::max(most, here);
   }
   double part =
@@ -37,7 +37,7 @@
   Dispatcher one(plan, kDispatchers, 7);
   Model model{plan, kDispatchers, 7};
   for (auto& row : enginesOf(kEngines))
-    model.list[row.row.id] = row;
+    model.list[row.record.id] = row;
   one.whole(enginesOf(kEngines));
   size_t before = one.engines.size();
   CHECK_EQ(one.view.statistics().depth, kUsers);
@@ -68,21 +68,22 @@
   SubsetSettings plan{10, 20, 6, 0.5, 30};
   Dispatcher one(plan, kDispatchers, 3);
   one.whole(enginesOf(1600));  // 400 east
-  size_t others = std::ranges::count_if(one.engines, [](auto& told) { return told.second.row.zone == "w"; });
+  size_t others =
+      std::ranges::count_if(one.engines, [](auto& told) { return told.second.record.zone == "w"; });
   CHECK_EQ(one.view.statistics().ranksComputed, 1600);
-  std::vector<Listing> lost;
+  std::vector<ListedEngine> lost;
   for (uint32_t id = 4; id <= 1600 - 20; id += 4)
-    lost.push_back(engineOf(id, true, false)), lost.back().row.state = kGone;
+    lost.push_back(engineOf(id, true, false)), lost.back().record.state = kGone;
   one.changes(lost);  // five are left
-  auto east = [](auto& told) { return told.second.row.zone == "e"; };
+  auto east = [](auto& told) { return told.second.record.zone == "e"; };
   CHECK_EQ(std::ranges::count_if(one.engines, east), 5);
   CHECK_EQ(std::ranges::count_if(one.engines, std::not_fn(east)), others);
   CHECK_LE(one.view.statistics().ranksComputed, 1600 + 5);
   for (auto& row : lost)
-    row.row.state = kIn, row.bornMs = int64_t(kBegin * 1000);
+    row.record.state = kIn, row.startedAtUnixMs = int64_t(kBegin * 1000);
   one.changes(lost);  // and back, cold: by the first alone, until they are warm
   for (auto& [id, told] : one.engines)
-    CHECK((told.bornMs == 0 || told.row.rank.has_value()));
+    CHECK((told.startedAtUnixMs == 0 || told.record.rank.has_value()));
   CHECK_LE(one.view.nextWakeUp(), kBegin + kColdTime);
   one.until(kBegin + 100, [](double) {});
   CHECK_EQ(one.view.statistics().depth, 10);
@@ -90,7 +91,7 @@
 
 TEST_CASE("all cold: the first use them, nobody widens, and one line tells who has none") {
   SubsetSettings plan{4, 16, 4, 0.5, 30};
-  std::vector<Listing> rows;
+  std::vector<ListedEngine> rows;
   for (uint32_t id = 1; id <= 10; ++id)
     rows.push_back(engineOf(id, true, true, int64_t(kBegin * 1000)));
   int users = 0, none = 0;
@@ -127,7 +128,7 @@
 TEST_CASE("what was found unfit stays while its class is short, and is forgotten by a restart") {
   SubsetSettings plan{2, 40, 4, 0.5, 5};
   Dispatcher one(plan, 40, 0);
-  std::vector<Listing> rows;
+  std::vector<ListedEngine> rows;
   for (uint32_t id = 1; id <= 10; ++id)
     rows.push_back(engineOf(id, true, false));
   one.whole(rows);
@@ -142,7 +143,7 @@
   one.until(kBegin + 100, [](double) {});
   CHECK_EQ(one.told, told);
   CHECK_EQ(one.view.takeWarnings().size(), 2);
-  rows[0].bornMs = 5;  // long warm
+  rows[0].startedAtUnixMs = 5;  // long warm
   one.changes({rows[0]}, kBegin + 100);
   CHECK(one.view.takeWarnings().empty());
   one.view.setEjected(1, true);
@@ -155,7 +156,7 @@
     rows.push_back(engineOf(id, true, false));
   one.whole(rows, kBegin + 200);  // enough among the first: nothing is kept any more
   for (auto& [id, near] : one.engines)
-    CHECK_GE(near.row.rank.value_or(-1), 0);
+    CHECK_GE(near.record.rank.value_or(-1), 0);
 }
 
 TEST_CASE("what was found unfit is forgotten when it leaves the view") {
@@ -165,7 +166,7 @@
   for (auto& row : enginesOf(40))
     model.put(row);
   one.whole(enginesOf(40));
-  auto wide = std::ranges::find_if(one.engines, [](auto& told) { return !told.second.row.rank; });
+  auto wide = std::ranges::find_if(one.engines, [](auto& told) { return !told.second.record.rank; });
   REQUIRE(wide != one.engines.end());
   uint32_t id = wide->first;
   one.view.setEjected(id, true);
@@ -181,16 +182,16 @@
   SubsetSettings plan{1, 40, 4, 0.5, 5};
   Dispatcher one(plan, 40, 0);
   one.whole(enginesOf(40));
-  auto wide = std::ranges::find_if(one.engines, [](auto& told) { return !told.second.row.rank; });
+  auto wide = std::ranges::find_if(one.engines, [](auto& told) { return !told.second.record.rank; });
   REQUIRE(wide != one.engines.end());
-  Listing row = wide->second;
-  row.row.state = kDraining;
+  ListedEngine row = wide->second;
+  row.record.state = kDraining;
   one.changes({row});
-  REQUIRE(one.engines.contains(row.row.id));
-  CHECK_EQ(one.engines.at(row.row.id).row.state, kDraining);
-  row.row.state = kGone;
+  REQUIRE(one.engines.contains(row.record.id));
+  CHECK_EQ(one.engines.at(row.record.id).record.state, kDraining);
+  row.record.state = kGone;
   one.changes({row});
-  CHECK_FALSE(one.engines.contains(row.row.id));
+  CHECK_FALSE(one.engines.contains(row.record.id));
   one.whole(enginesOf(400));  // enough among the first
   CHECK_EQ(one.view.nextWakeUp(), kBegin + 5);
   one.take(one.view.tick(kBegin - 3600));
@@ -207,12 +208,12 @@
     uint64_t told = one.told;
     one.whole(rows), one.changes({}), one.take(one.view.tick(kBegin + 1));
     for (auto& row : rows)
-      row.row.cell = row.row.id % 2 ? 0 : 1;
+      row.record.cell = row.record.id % 2 ? 0 : 1;
     one.whole(rows);
     CHECK_EQ(one.view.statistics().ranksComputed, engines);  // changed rows keep their places
     CHECK_EQ(one.told - told, std::ranges::count_if(one.engines, [](auto& e) { return e.first % 2 == 0; }));
     told = one.told;
-    std::vector<Listing> more;
+    std::vector<ListedEngine> more;
     for (uint32_t id = 100001; id <= 100010; ++id)
       more.push_back(engineOf(id, false, false));
     one.changes(more);
--- a/tests/view_cold_test.cpp
+++ b/tests/view_cold_test.cpp
@@ -67,7 +67,7 @@
   Dispatcher(int ordinal, int of, uint64_t chance, double skew, ColdEngine& engine)
       : number(ordinal), dispatchers(of), seed(chance), off(skew), cold(engine) {}
 
-  void open(const std::vector<Listing>& list) {
+  void open(const std::vector<ListedEngine>& list) {
     for (; !ends.empty(); ends.pop())
       cold.inHand -= ends.top().isCold;
     works.clear(), held.clear(), policy.reset(), told = false;
@@ -77,17 +77,17 @@
     policy->advanceTo(now + off);
     hear({0, true, list}, EngineListKind::full);
   }
-  void hear(const ListEvent& event, EngineListKind kind = EngineListKind::delta) {
-    for (auto& row : event.rows)
-      told |= row.row.id == cold.id && row.bornMs > 0;
+  void hear(const EngineListEvent& event, EngineListKind kind = EngineListKind::delta) {
+    for (auto& row : event.engines)
+      told |= row.record.id == cold.id && row.startedAtUnixMs > 0;
     show(view->apply(event, now + off), kind);
   }
-  void show(const std::vector<Listing>& changes, EngineListKind kind) {
+  void show(const std::vector<ListedEngine>& changes, EngineListKind kind) {
     std::vector<EngineRecord> rows;
     for (auto& change : changes) {
-      EngineRecord& row = rows.emplace_back(change.row);
-      if (change.bornMs > 0)
-        row.startedAt = double(change.bornMs) / 1000;
+      EngineRecord& row = rows.emplace_back(change.record);
+      if (change.startedAtUnixMs > 0)
+        row.startedAt = double(change.startedAtUnixMs) / 1000;
     }
     if (kind == EngineListKind::full || !rows.empty())
       policy->updateEngines(kind, rows);
@@ -159,14 +159,14 @@
   const uint32_t first = chance.next();  // of the engines' ids
   ColdEngine cold{first};
   auto listed = [&](uint32_t i, bool is) {
-    Listing one;
-    one.row = {first + i, "a", "eight", 0, EngineState::inService, {}, {}};
+    ListedEngine one;
+    one.record = {first + i, "a", "eight", 0, EngineState::inService, {}, {}};
     one.address = {0x7f000001, uint16_t(i + 1)};
     if (is && i % 100 < (wide ? 60 : 8))
-      one.bornMs = int64_t(kStart * 1000);
+      one.startedAtUnixMs = int64_t(kStart * 1000);
     return one;
   };
-  std::vector<Listing> before, after;
+  std::vector<ListedEngine> before, after;
   for (uint32_t i = 0; i < kEngines; ++i) {
     if (i > 0 || !joins)
       before.push_back(listed(i, false));
--- a/tests/view_scene.h
+++ b/tests/view_scene.h
@@ -31,18 +31,18 @@
   return set;
 }
 constexpr int kClasses = 3;  // the fourth profile is of the third's
-inline bool serves(int which, const Listing& engine) {
-  return which == 0 || (which == 1 ? engine.row.zone == "e" : engine.row.kind == "xl");
+inline bool serves(int which, const ListedEngine& engine) {
+  return which == 0 || (which == 1 ? engine.record.zone == "e" : engine.record.kind == "xl");
 }
 
-inline Listing engineOf(uint32_t id, bool east, bool large, int64_t bornMs = 0) {
-  Listing one;
-  one.row.id = id, one.row.zone = east ? "e" : "w", one.row.kind = large ? "xl" : "std";
-  one.address = {0x0a000000 + id, 4200}, one.bornMs = bornMs;
+inline ListedEngine engineOf(uint32_t id, bool east, bool large, int64_t bornMs = 0) {
+  ListedEngine one;
+  one.record.id = id, one.record.zone = east ? "e" : "w", one.record.kind = large ? "xl" : "std";
+  one.address = {0x0a000000 + id, 4200}, one.startedAtUnixMs = bornMs;
   return one;
 }
-inline std::vector<Listing> enginesOf(uint32_t count) {  // a quarter east, an eighth large
-  std::vector<Listing> rows;
+inline std::vector<ListedEngine> enginesOf(uint32_t count) {  // a quarter east, an eighth large
+  std::vector<ListedEngine> rows;
   for (uint32_t id = 1; id <= count; ++id)
     rows.push_back(engineOf(id, id % 4 == 0, id % 8 == 1));
   return rows;
@@ -58,25 +58,25 @@
 
 struct Dispatcher {
   EngineSubset view;
-  std::map<uint32_t, Listing> engines = {};  // in view, as told
+  std::map<uint32_t, ListedEngine> engines = {};  // in view, as told
   uint64_t told = 0;
   Dispatcher(const SubsetSettings& plan, int dispatchers, int ordinal)
       : view(plan, settingsOf(dispatchers, ordinal)) {}
 
-  void take(const std::vector<Listing>& changes) {
+  void take(const std::vector<ListedEngine>& changes) {
     told += changes.size();
     for (auto& change : changes) {
-      uint32_t id = change.row.id;
-      if (change.row.state != kGone)
+      uint32_t id = change.record.id;
+      if (change.record.state != kGone)
         engines.insert_or_assign(id, change);
       else if (engines.erase(id) == 0)
         throw std::logic_error("told as gone, and never told before");
     }
   }
-  void whole(const std::vector<Listing>& rows, double now = kBegin) {
+  void whole(const std::vector<ListedEngine>& rows, double now = kBegin) {
     take(view.apply({1, true, rows}, now));
   }
-  void changes(const std::vector<Listing>& rows, double now = kBegin) {
+  void changes(const std::vector<ListedEngine>& rows, double now = kBegin) {
     take(view.apply({1, false, rows}, now));
   }
   // All that comes by itself until then; `after` looks at each step.
@@ -93,7 +93,7 @@
   std::set<uint32_t> inService() const {
     std::set<uint32_t> ids;
     for (auto& [id, change] : engines)
-      if (change.row.state == kIn)
+      if (change.record.state == kIn)
         ids.insert(id);
     return ids;
   }
@@ -103,16 +103,17 @@
 struct Model {
   SubsetSettings plan;
   int dispatchers, ordinal;
-  std::map<uint32_t, Listing> list = {}, latest = {};  // the latter with those that have gone
+  std::map<uint32_t, ListedEngine> list = {}, latest = {};  // the latter with those that have gone
   std::set<uint32_t> unfit = {};
   std::map<uint32_t, int> places = {};
 
-  void put(const Listing& row) {  // or take away; who starts anew is fit
-    auto [at, fresh] = latest.try_emplace(row.row.id, row);
-    if (at->second.bornMs != row.bornMs || at->second.address != row.address)
-      unfit.erase(row.row.id);
+  void put(const ListedEngine& row) {  // or take away; who starts anew is fit
+    auto [at, fresh] = latest.try_emplace(row.record.id, row);
+    if (at->second.startedAtUnixMs != row.startedAtUnixMs || at->second.address != row.address)
+      unfit.erase(row.record.id);
     at->second = row;
-    row.row.state == kGone ? void(list.erase(row.row.id)) : void(list.insert_or_assign(row.row.id, row));
+    row.record.state == kGone ? void(list.erase(row.record.id))
+                              : void(list.insert_or_assign(row.record.id, row));
   }
   int base() const { return std::min(plan.usersPerEngine, dispatchers); }
   int placeOf(uint32_t id) {
@@ -121,12 +122,12 @@
       at->second = placeBySorting(id, ordinal, dispatchers);
     return at->second;
   }
-  static bool cold(const Listing& one, double now) {
-    return one.bornMs > 0 && now < double(one.bornMs) / 1000 + kColdTime;
+  static bool cold(const ListedEngine& one, double now) {
+    return one.startedAtUnixMs > 0 && now < double(one.startedAtUnixMs) / 1000 + kColdTime;
   }
   int countOf(int which) const {
     return int(std::ranges::count_if(
-        list, [&](auto& one) { return one.second.row.state == kIn && serves(which, one.second); }));
+        list, [&](auto& one) { return one.second.record.state == kIn && serves(which, one.second); }));
   }
   int boundOf(int which) const {
     int count = countOf(which), wide = 1;
@@ -141,14 +142,14 @@
   int usableBefore(int which, int place, double now) {
     int usable = 0;
     for (auto& [id, one] : list)
-      usable += one.row.state == kIn && serves(which, one) && !cold(one, now) && !unfit.contains(id) &&
+      usable += one.record.state == kIn && serves(which, one) && !cold(one, now) && !unfit.contains(id) &&
                 placeOf(id) < place;
     return usable;
   }
   // `settled`: long ago, so nothing is in view that isn't needed.
   std::string broken(const Dispatcher& is, double now, bool settled = false) {
     for (auto& [id, one] : list) {
-      bool in = is.engines.contains(id), draining = one.row.state == kDraining;
+      bool in = is.engines.contains(id), draining = one.record.state == kDraining;
       int place = placeOf(id);
       auto at = " engine " + std::to_string(id) + " at place " + std::to_string(place);
       if (place < base() && !in)
@@ -156,10 +157,10 @@
       if (!in)
         continue;
       auto& told = is.engines.at(id);
-      if (told.row.rank.value_or(-1) != (place < base() ? place : -1))
+      if (told.record.rank.value_or(-1) != (place < base() ? place : -1))
         return "told with another place:" + at;
-      if (told.address != one.address || told.bornMs != one.bornMs || told.row.zone != one.row.zone ||
-          told.row.state != one.row.state)
+      if (told.address != one.address || told.startedAtUnixMs != one.startedAtUnixMs ||
+          told.record.zone != one.record.zone || told.record.state != one.record.state)
         return "told otherwise than listed:" + at;
       if (place < base() || draining)
         continue;
@@ -171,8 +172,8 @@
           continue;
         allowed |= place < boundOf(which), needed |= usableBefore(which, place, now) < needOf(which);
         inOrder |= std::ranges::all_of(list, [&](auto& other) {
-          return !serves(which, other.second) || other.second.row.state != kIn || cold(other.second, now) ||
-                 placeOf(other.first) > place || is.engines.contains(other.first);
+          return !serves(which, other.second) || other.second.record.state != kIn ||
+                 cold(other.second, now) || placeOf(other.first) > place || is.engines.contains(other.first);
         });
       }
       if (!allowed)
@@ -189,7 +190,7 @@
       int usable = 0;
       for (auto& [id, told] : is.engines)
         usable +=
-            told.row.state == kIn && serves(which, told) && !cold(list.at(id), now) && !unfit.contains(id);
+            told.record.state == kIn && serves(which, told) && !cold(list.at(id), now) && !unfit.contains(id);
       if (usable < std::min(needOf(which), usableBefore(which, boundOf(which), now)))
         return "too few of class " + std::to_string(which);
     }
--- a/tests/view_test.cpp
+++ b/tests/view_test.cpp
@@ -70,9 +70,9 @@
       one.take(one.view.tick(kBegin));
       for (auto& [id, told] : one.engines) {
         ++all[id];
-        if (told.row.rank)
-          RC_ASSERT(users[id].insert(*told.row.rank).second);
-        RC_ASSERT((told.row.rank || id % 5 != 0));  // cold
+        if (told.record.rank)
+          RC_ASSERT(users[id].insert(*told.record.rank).second);
+        RC_ASSERT((told.record.rank || id % 5 != 0));  // cold
       }
       for (int which = 0; which < kClasses; ++which)
         bound = std::max(bound, model.boundOf(which));
@@ -105,10 +105,10 @@
       RC_ASSERT(model.broken(one, at) == "");
     };
     for (auto& [kind, id, way] : *steps()) {
-      Listing row = engineOf(id, way & 1, way & 2, way & 4 ? int64_t(now * 1000) - 5000 : 0);
+      ListedEngine row = engineOf(id, way & 1, way & 2, way & 4 ? int64_t(now * 1000) - 5000 : 0);
       if (auto known = model.list.find(id); known != model.list.end() && What(kind) != What::add)
         row = known->second;
-      std::vector<Listing> rows;
+      std::vector<ListedEngine> rows;
       switch (What(kind)) {
         case What::whole: {  // of all that is known up to some id, and some that are not
           std::erase_if(model.list, [&](auto& known) {
@@ -121,22 +121,22 @@
             rows.push_back(listing);
           std::ranges::reverse(rows);
           if (!rows.empty())
-            rows.insert(rows.begin(), engineOf(rows[0].row.id, false, true, 99));  // not the last
+            rows.insert(rows.begin(), engineOf(rows[0].record.id, false, true, 99));  // not the last
           one.whole(rows, now);
           break;
         }
         case What::takeAway:
-          row.row.state = kGone;
+          row.record.state = kGone;
           break;
         case What::drain:
-          row.row.state = kDraining;
+          row.record.state = kDraining;
           break;
         case What::restart:
-          row.bornMs = int64_t(now * 1000), row.row.state = kIn,
+          row.startedAtUnixMs = int64_t(now * 1000), row.record.state = kIn,
           row.address.port = uint16_t(row.address.port + way);
           break;
         case What::move:
-          row.row.zone = row.row.zone == "e" ? "w" : "e";
+          row.record.zone = row.record.zone == "e" ? "w" : "e";
           break;
         case What::unfit:
         case What::fit:
@@ -170,7 +170,7 @@
     model.unfit.clear();
     one.until(now + 1000, sound);
     Dispatcher anew(plan, dispatchers, ordinal);
-    std::vector<Listing> rows;
+    std::vector<ListedEngine> rows;
     for (auto& [id, row] : model.list)
       rows.push_back(row);
     anew.whole(rows, now + 1000);
@@ -188,8 +188,8 @@
     std::vector<Dispatcher> all;
     for (int i = 0; i < kDispatchers; ++i)
       all.emplace_back(planOf(8, 16, 4), kDispatchers, i), all[i].whole(rows);
-    Listing row = engineOf(id, false, false);
-    row.address.port = 1, row.row.state = *rc::gen::element(kIn, kGone, kDraining);
+    ListedEngine row = engineOf(id, false, false);
+    row.address.port = 1, row.record.state = *rc::gen::element(kIn, kGone, kDraining);
     int users = 0;
     for (auto& one : all) {
       uint64_t told = one.told;
@@ -197,6 +197,6 @@
       RC_ASSERT(one.told - told <= 1);
       users += int(one.told - told);
     }
-    RC_ASSERT(users == (id <= 400 || row.row.state != kGone ? 8 : 0));
+    RC_ASSERT(users == (id <= 400 || row.record.state != kGone ? 8 : 0));
   }));
 }
