--- a/src/serve/discovery.cpp
+++ b/src/serve/discovery.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "runtime/log.h"
-#include "serve/close_reason.h"
+#include "serve/outcome.h"
 
 namespace elmcleat {
 namespace {
@@ -17,25 +17,25 @@
 // time, it would take the core.
 constexpr double kPause = 0.1;
 constexpr size_t kLeastLinks = 8;  // however few descriptors there are
-constexpr size_t kMostIn = 2 * FrameReader::kMostFrame, kMostOut = 64;
+constexpr size_t kMostIn = 2 * FrameParser::kMaxFrameBytes, kMostOut = 64;
 
 }  // namespace
 
 Discovery::Discovery(Scheduler& scheduler, const Config& config, Dispatcher& dispatcher,
-                     std::unique_ptr<view::View> view)
+                     std::unique_ptr<view::EngineSubset> view)
     : scheduler_(scheduler),
       config_(config),
       dispatcher_(dispatcher),
       signal_(scheduler),
       mailbox_(signal_),
       timer_(scheduler, [this] { late_ = true, signal_.raise(); }),
-      changeLog_(config.changeLog),
-      reader_(config.links.zones, config.links.kinds),
-      view_(std::move(view)),
-      looks_(scheduler, [this] { look(); }),
-      room_(std::max(config.sockets / 3, kLeastLinks)) {}
+      changeLog_(config.changeLogAddress),
+      reader_(config.connectionSettings.zones, config.connectionSettings.kinds),
+      subset_(std::move(view)),
+      subsetTimer_(scheduler, [this] { updateSubset(); }),
+      connectionQuota_(std::max(config.maxDescriptors / 3, kLeastLinks)) {}
 
-void Discovery::start(const std::vector<ListEvent>& known) {
+void Discovery::start(const std::vector<EngineListEvent>& known) {
   for (auto& event : known)
     apply(event);
   task_ = run();
@@ -46,7 +46,7 @@
   mailbox_.post([this, changeLog] {
     if (changeLog == changeLog_)
       return;
-    info() << "change log: moves to " << textOf(changeLog);
+    info() << "change log: moves to " << formatAddress(changeLog);
     changeLog_ = changeLog, moved_ = true;
   });
 }
@@ -57,17 +57,18 @@
   for (bool first = true;; first = false) {
     double began = scheduler_.now();
     Stream stream(scheduler_, signal_, kMostIn, kMostOut);
-    within(config_.links.connectTimeout);
+    within(config_.connectionSettings.connectTimeout);
     moved_ = false;
     stream.connect(changeLog_);
-    if (stream.closeReason() == CloseReason::noDescriptor && !std::exchange(evicted, true) && room_.evict())
+    if (stream.closeReason() == CloseReason::outOfDescriptors && !std::exchange(evicted, true) &&
+        connectionQuota_.evictOther())
       continue;
     evicted = false;
     bool up = false, heard = false;
-    while (stream.open()) {
-      if (!up && stream.connected()) {
+    while (stream.isOpen()) {
+      if (!up && stream.isConnected()) {
         up = true;
-        stream.write(resumeFrom(last_));
+        stream.write(encodeResumeRequest(last_));
         within(kSilence);
         info() << "change log: connected, from event " << last_;
       }
@@ -75,13 +76,13 @@
       if (up && read(stream))
         heard = true, within(kSilence);
       if (moved_)
-        stream.end(CloseReason::replaced);  // after what it had told is read
+        stream.close(CloseReason::replaced);  // after what it had told is read
       if (late_)
-        stream.end(up ? CloseReason::silent : CloseReason::connectLate);
-      if (!stream.open())
+        stream.close(up ? CloseReason::unresponsive : CloseReason::connectTimedOut);
+      if (!stream.isOpen())
         break;
       co_await signal_;
-      mailbox_.drain();
+      mailbox_.runAll();
     }
     timer_.clear();
     if (up || first)
@@ -92,7 +93,7 @@
     within(kPause);
     while (!late_ && !moved_) {
       co_await signal_;
-      mailbox_.drain();
+      mailbox_.runAll();
     }
   }
 }
@@ -101,125 +102,130 @@
 bool Discovery::read(Stream& stream) {
   bool any = false;
   do {
-    stream.fill();
-    ListEvent event;
-    for (FrameReader::State state; (state = reader_.next(stream.in(), event)) != FrameReader::State::more;) {
-      if (state == FrameReader::State::bad) {
-        stream.end(CloseReason::garbled);
+    stream.receive();
+    EngineListEvent event;
+    for (FrameParser::State state;
+         (state = reader_.next(stream.input(), event)) != FrameParser::State::needMore;) {
+      if (state == FrameParser::State::malformed) {
+        stream.close(CloseReason::malformed);
         return any;
       }
       any = true;
-      if (state == FrameReader::State::nothingNew || event.number <= last_)
+      if (state == FrameParser::State::heartbeat || event.sequence <= last_)
         continue;
-      if (event.number > last_ + 1 && last_ > 0)
-        warn() << "change log: event " << event.number << " follows " << last_;
+      if (event.sequence > last_ + 1 && last_ > 0)
+        warn() << "change log: event " << event.sequence << " follows " << last_;
       apply(event);
     }
-  } while (stream.open() && stream.cutShort());
+  } while (stream.isOpen() && stream.inputLimited());
   return any;
 }
 
-void Discovery::apply(const ListEvent& event) {
-  last_ = event.number;
-  if (!event.whole && event.rows.empty())
+void Discovery::apply(const EngineListEvent& event) {
+  last_ = event.sequence;
+  if (!event.isFullList && event.engines.empty())
     return;
-  if (!view_) {
-    info() << "change log: event " << event.number << ", " << (event.whole ? "whole list" : "changes") << ", "
-           << event.rows.size() << " engines named";
-    return use(event.rows, event.whole);
+  if (!subset_) {
+    info() << "change log: event " << event.sequence << ", " << (event.isFullList ? "whole list" : "changes")
+           << ", " << event.engines.size() << " engines named";
+    return updateEngines(event.engines, event.isFullList);
   }
-  heed(view_->apply(event, scheduler_.clock().unix(scheduler_.now())),
-       event.whole ? "whole list" : "changes");
+  applySubsetChanges(subset_->apply(event, scheduler_.clock().toUnix(scheduler_.now())),
+                     event.isFullList ? "whole list" : "changes");
 }
 
-void Discovery::look() { heed(view_->tick(scheduler_.clock().unix(scheduler_.now())), "its own width"); }
+void Discovery::updateSubset() {
+  applySubsetChanges(subset_->tick(scheduler_.clock().toUnix(scheduler_.now())), "its own width");
+}
 
 // What is out of view costs no line, actor, timer or row of the module.
-void Discovery::heed(const std::vector<Listing>& changes, const char* why) {
-  if (double at = view_->wakes(); at < HUGE_VAL)
-    looks_.set(scheduler_.clock().fromUnix(int64_t(at * 1e3) + 1));
+void Discovery::applySubsetChanges(const std::vector<ListedEngine>& changes, const char* why) {
+  if (double at = subset_->nextWakeUp(); at < HUGE_VAL)
+    subsetTimer_.set(scheduler_.clock().fromUnix(int64_t(at * 1e3) + 1));
   else
-    looks_.clear();
-  for (auto& line : view_->lines())
+    subsetTimer_.clear();
+  for (auto& line : subset_->takeWarnings())
     warn() << line;
   if (changes.empty())
     return;
-  auto figures = view_->figures();
+  auto figures = subset_->statistics();
   info() << "view: " << changes.size() << " engines change by " << why << ", event " << last_ << ": "
-         << figures.used << " of " << figures.listed << " in use, reach " << figures.reach;
-  use(changes, false);
+         << figures.inUse << " of " << figures.listed << " in use, reach " << figures.depth;
+  updateEngines(changes, false);
 }
 
-void Discovery::use(const std::vector<Listing>& listings, bool whole) {
+void Discovery::updateEngines(const std::vector<ListedEngine>& listings, bool whole) {
   std::set<uint32_t> named;
-  std::vector<NodeRow> rows;
+  std::vector<EngineRecord> rows;
   for (auto& listing : listings) {
-    NodeRow& row = rows.emplace_back(listing.row);
-    if (listing.bornMs > 0)
-      row.startedAt = scheduler_.clock().fromUnix(listing.bornMs);
+    EngineRecord& row = rows.emplace_back(listing.record);
+    if (listing.startedAtUnixMs > 0)
+      row.startedAt = scheduler_.clock().fromUnix(listing.startedAtUnixMs);
     named.insert(row.id);
     auto& engine = engines_[row.id];
     if (!engine)
-      engine = std::make_unique<Engine>(scheduler_, config_.links, dispatcher_, row.id, linksEach_, room_);
-    if (row.state == NodeState::inService)
-      engine->place(listing.address, row.startedAt);
+      engine = std::make_unique<Engine>(scheduler_, config_.connectionSettings, dispatcher_, row.id,
+                                        connectionsPerEngine_, connectionQuota_);
+    if (row.state == EngineState::inService)
+      engine->setAddress(listing.address, row.startedAt);
     else
       engine->retire();
   }
   for (auto at = engines_.begin(); at != engines_.end();) {
     if (whole && !named.contains(at->first))
       at->second->retire();  // not in a whole list: gone
-    at = at->second->unused() ? engines_.erase(at) : std::next(at);
+    at = at->second->isUnused() ? engines_.erase(at) : std::next(at);
   }
   // Clients hold a third of all descriptors at most; as many are for engines, and the last third is to spare.
-  linksEach_ = std::max<size_t>(1, config_.sockets / 3 / std::max<size_t>(1, engines_.size()));
-  dispatcher_.listed(whole ? ListKind::full : ListKind::changes, std::move(rows));
+  connectionsPerEngine_ =
+      std::max<size_t>(1, config_.maxDescriptors / 3 / std::max<size_t>(1, engines_.size()));
+  dispatcher_.updateEngines(whole ? EngineListKind::full : EngineListKind::delta, std::move(rows));
 }
 
 // --- from the dispatcher
-void Discovery::tell(uint32_t node, std::function<void(Engine&)> call) {
+void Discovery::withEngine(uint32_t node, std::function<void(Engine&)> call) {
   mailbox_.post([this, node, call = std::move(call)] {
     if (auto found = engines_.find(node); found != engines_.end())
       call(*found->second);
   });
 }
 
-void Discovery::send(uint32_t node, std::shared_ptr<Ticket> ticket, double until) {
-  mailbox_.post([this, node, ticket = std::move(ticket), until] {
+void Discovery::send(uint32_t node, std::shared_ptr<RequestContext> context, double until) {
+  mailbox_.post([this, node, context = std::move(context), until] {
     if (auto found = engines_.find(node); found != engines_.end())
-      return found->second->send(ticket, until);
+      return found->second->send(context, until);
     // It has gone, and was forgotten, since the module decided.
-    dispatcher_.ended(ticket, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
+    dispatcher_.sendFinished(context, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
   });
 }
 
-void Discovery::reprioritise(uint32_t node, std::shared_ptr<Ticket> ticket) {
-  tell(node, [ticket = std::move(ticket)](Engine& engine) { engine.reprioritise(ticket); });
+void Discovery::reprioritise(uint32_t node, std::shared_ptr<RequestContext> context) {
+  withEngine(node, [context = std::move(context)](Engine& engine) { engine.reprioritise(context); });
 }
 
-void Discovery::cancel(uint32_t node, std::shared_ptr<Ticket> ticket) {
-  tell(node, [ticket = std::move(ticket)](Engine& engine) { engine.cancel(ticket); });
+void Discovery::cancel(uint32_t node, std::shared_ptr<RequestContext> context) {
+  withEngine(node, [context = std::move(context)](Engine& engine) { engine.cancel(context); });
 }
 
-void Discovery::withdraw(uint32_t node, std::shared_ptr<Ticket> ticket) {
-  tell(node, [ticket = std::move(ticket)](Engine& engine) { engine.withdraw(ticket); });
+void Discovery::withdraw(uint32_t node, std::shared_ptr<RequestContext> context) {
+  withEngine(node, [context = std::move(context)](Engine& engine) { engine.withdraw(context); });
 }
 
-void Discovery::shorten(uint32_t node, std::shared_ptr<Ticket> ticket) {
-  tell(node, [ticket = std::move(ticket)](Engine& engine) { engine.shorten(ticket); });
+void Discovery::shortenDeadline(uint32_t node, std::shared_ptr<RequestContext> context) {
+  withEngine(node, [context = std::move(context)](Engine& engine) { engine.shortenDeadline(context); });
 }
 
-void Discovery::rests(uint32_t node, bool is) {
-  if (!view_)
+void Discovery::setEjected(uint32_t node, bool is) {
+  if (!subset_)
     return;
   mailbox_.post([this, node, is] {
-    view_->rests(node, is);
-    look();
+    subset_->setEjected(node, is);
+    updateSubset();
   });
 }
 
 void Discovery::probe(uint32_t node) {
-  tell(node, [](Engine& engine) { engine.probe(); });
+  withEngine(node, [](Engine& engine) { engine.probe(); });
 }
 
 }  // namespace elmcleat
--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -9,13 +9,13 @@
 #include "config/config.h"
 #include "runtime/mailbox.h"
 #include "runtime/stream.h"
-#include "serve/answer.h"
-#include "serve/ask.h"
-#include "serve/client.h"
-#include "serve/close_reason.h"
+#include "serve/client_connection.h"
 #include "serve/dispatcher.h"
-#include "serve/door.h"
 #include "serve/engine.h"
+#include "serve/listener.h"
+#include "serve/outcome.h"
+#include "serve/request_parser.h"
+#include "serve/response.h"
 
 using namespace elmcleat;
 
@@ -40,7 +40,7 @@
   } left{trace, name};
   while (true) {
     co_await signal;
-    mailbox.drain();
+    mailbox.runAll();
     trace << name << " ran;";
   }
 }
@@ -145,22 +145,22 @@
   Stream stream(loop.scheduler, signal, 4, 1 << 20);
   stream.adopt(ends[0]);
   REQUIRE_EQ(::write(ends[1], "abcdef", 6), 6);
-  CHECK(stream.fill());
-  CHECK(stream.cutShort());
-  CHECK_EQ(stream.in(), "abcd");
-  stream.in().clear();
-  CHECK(stream.fill());
-  CHECK_EQ(stream.in(), "ef");
+  CHECK(stream.receive());
+  CHECK(stream.inputLimited());
+  CHECK_EQ(stream.input(), "abcd");
+  stream.input().clear();
+  CHECK(stream.receive());
+  CHECK_EQ(stream.input(), "ef");
   uint64_t sent = stream.write("one"), queued = stream.write(std::string(900'000, 'x'));
   stream.flush();
   uint64_t waits = stream.write("two");
-  CHECK(stream.begun(sent));
-  CHECK(stream.begun(queued));
+  CHECK(stream.hasStarted(sent));
+  CHECK(stream.hasStarted(queued));
   CHECK_FALSE(stream.withdraw(queued));
-  CHECK_FALSE(stream.begun(waits));
+  CHECK_FALSE(stream.hasStarted(waits));
   CHECK(stream.withdraw(waits));
   stream.write(std::string(1 << 20, 'x'));
-  CHECK_EQ(int(stream.closeReason()), int(CloseReason::overfull));
+  CHECK_EQ(int(stream.closeReason()), int(CloseReason::bufferFull));
   ::close(ends[1]);
 }
 
@@ -171,8 +171,8 @@
   int ends[2];
   REQUIRE_EQ(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends), 0);
   MemoryBudget hold{1 << 20};
-  Client client(loop.scheduler, settings, dispatcher, hold, ends[0]);
-  client.tell([] {}, [] {});
+  ClientConnection client(loop.scheduler, settings, dispatcher, hold, ends[0]);
+  client.onFinished([] {}, [] {});
   client.start();
   REQUIRE_EQ(::write(ends[1], "GET /check HTTP/1.1\r\n\r\n", 23), 23);
   CHECK_FALSE(client.tryEvict());
@@ -185,10 +185,10 @@
   ::close(ends[1]);
 }
 
-struct Waits final : Asker {  // for an answer
-  void answer(Answer) override {}
-  void dismiss() override {}
-  bool present() override { return true; }
+struct Waits final : Responder {  // for an answer
+  void respond(Response) override {}
+  void abandon() override {}
+  bool isConnected() override { return true; }
 };
 
 // An engine with a command that goes to it, and the listener that stands for its machine.
@@ -201,11 +201,12 @@
     REQUIRE_EQ(::bind(listener, reinterpret_cast<sockaddr*>(&native), size), 0);
     REQUIRE_EQ(::listen(listener, 5), 0);
     ::getsockname(listener, reinterpret_cast<sockaddr*>(&native), &size);
-    links.sendsPerConnection = 2, links.connectTimeout = 5, links.idle = 15;
-    engine.place({INADDR_LOOPBACK, ntohs(native.sin_port)}, std::nullopt);
-    ticket->asker = &client;  // what nobody waits for does not go out
-    ticket->ask.id = "9b1f", ticket->ask.profile = "quick", ticket->ask.statement = "x";
-    ticket->ask.endsAt = loop.scheduler.now() + 50;
+    connectionSettings.sendsPerConnection = 2, connectionSettings.connectTimeout = 5,
+    connectionSettings.idleTimeout = 15;
+    engine.setAddress({INADDR_LOOPBACK, ntohs(native.sin_port)}, std::nullopt);
+    ticket->responder = &client;  // what nobody waits for does not go out
+    ticket->request.id = "9b1f", ticket->request.profile = "quick", ticket->request.statement = "x";
+    ticket->request.clientDeadline = loop.scheduler.now() + 50;
   }
   ~OneEngine() { ::close(peer), ::close(listener); }
   void accept() {
@@ -214,14 +215,14 @@
   }
   Loop loop;
   Settings settings;
-  LinkSettings links;
+  ConnectionSettings connectionSettings;
   int listener, peer = -1;
   Dispatcher dispatcher;
   size_t most = 1;
-  LinkRoom room;
-  Engine engine{loop.scheduler, links, dispatcher, 7, most, room};
+  ConnectionQuota room;
+  Engine engine{loop.scheduler, connectionSettings, dispatcher, 7, most, room};
   Waits client;
-  std::shared_ptr<Ticket> ticket = std::make_shared<Ticket>();
+  std::shared_ptr<RequestContext> ticket = std::make_shared<RequestContext>();
 };
 
 TEST_CASE("a new priority follows a send that is out, and not one that waits for its connection") {
@@ -254,7 +255,7 @@
   auto count = [](Scheduler& scheduler, int from, int& passed) -> Task {
     Signal signal(scheduler);
     for (char text[200]; ::recv(from, text, sizeof text, MSG_DONTWAIT) != 0; ++passed)
-      co_await signal.others();
+      co_await signal.afterOthers();
     scheduler.stop();
   };
   Task task = count(one.loop.scheduler, one.peer, turns);
@@ -274,9 +275,10 @@
   REQUIRE_EQ(::bind(probe, reinterpret_cast<sockaddr*>(&native), size), 0);
   ::getsockname(probe, reinterpret_cast<sockaddr*>(&native), &size);
   ::close(probe);
-  config.listen = {INADDR_LOOPBACK, ntohs(native.sin_port)}, config.sockets = 96, config.memoryMb = 192;
+  config.listenAddress = {INADDR_LOOPBACK, ntohs(native.sin_port)}, config.maxDescriptors = 96,
+  config.memoryMb = 192;
   Dispatcher dispatcher(loop.scheduler, config.settings, 1);
-  Door door(loop.scheduler, config, dispatcher);
+  Listener door(loop.scheduler, config, dispatcher);
   door.open();
   std::vector<int> stampede;
   for (int i = 0; i < 300; ++i) {
@@ -288,7 +290,7 @@
   auto stall = [](Scheduler& scheduler, double until) -> Task {  // in the second turn, past that time
     Signal signal(scheduler);
     for (int turn = 0; turn < 2; ++turn)
-      co_await signal.others();
+      co_await signal.afterOthers();
     while (scheduler.now() < until)
       ::usleep(1000);
   };
@@ -314,62 +316,63 @@
       "overfull: connectFailed, reset; idle: connectFailed, reset; silent: connectFailed, reset; cut short: "
       "connectFailed, reset; replaced: unused, reset; timed out: unused, expired; ");
   told.str("");
-  for (auto word : {Word::answered, Word::full, Word::error, Word::over, Word::well, Word::sick})
+  for (auto word : {ResponseKind::answered, ResponseKind::overloaded, ResponseKind::error,
+                    ResponseKind::expired, ResponseKind::healthy, ResponseKind::unhealthy})
     told << outcomeName(outcomeOf(word)) << " ";
   CHECK_EQ(told.str(), "answered full error unused answered error ");
 }
 
 TEST_CASE("pages are gathered in any order, and only what belongs together") {
   auto page = [](int number, const char* body, int pages = 1) {
-    EngineAnswer answer;
-    answer.page = number, answer.pages = pages, answer.body = body;
+    EngineResponse answer;
+    answer.pageNumber = number, answer.pageCount = pages, answer.body = body;
     return answer;
   };
   auto first = page(0, "a\tb\tc\n", 3), last = page(2, "g\th\ti\n"), middle = page(1, "d\te\tf\n");
-  Gathering pages;
-  CHECK_FALSE(pages.further(middle));
-  CHECK(pages.first(first));
-  CHECK_FALSE(pages.first(first));
-  CHECK(pages.further(last));
-  CHECK_FALSE(pages.whole());
-  CHECK_FALSE(pages.further(last));
+  ResultAssembler pages;
+  CHECK_FALSE(pages.addPage(middle));
+  CHECK(pages.addFirstPage(first));
+  CHECK_FALSE(pages.addFirstPage(first));
+  CHECK(pages.addPage(last));
+  CHECK_FALSE(pages.isComplete());
+  CHECK_FALSE(pages.addPage(last));
   auto beyond = page(3, "");
-  CHECK_FALSE(pages.further(beyond));
-  CHECK(pages.further(middle));
-  CHECK(pages.whole());
+  CHECK_FALSE(pages.addPage(beyond));
+  CHECK(pages.addPage(middle));
+  CHECK(pages.isComplete());
   CHECK_EQ(*pages.rows(), R"([["a","b","c"],["d","e","f"],["g","h","i"]])");
-  Gathering large;
+  ResultAssembler large;
   auto most = page(0, "", 2), rest = page(1, "");
-  most.body = std::string(Gathering::kMostBytes, 'x'), rest.body = "x";
-  CHECK(large.first(most));
-  CHECK_FALSE(large.further(rest));
+  most.body = std::string(ResultAssembler::kMaxResultBytes, 'x'), rest.body = "x";
+  CHECK(large.addFirstPage(most));
+  CHECK_FALSE(large.addPage(rest));
 }
 
 TEST_CASE("a request becomes a command, or a status with a reason") {
   Settings settings;
   settings.profiles.resize(2);
-  settings.profiles[0].name = "report", settings.profiles[0].effect = Effect::uniqued;
+  settings.profiles[0].name = "report", settings.profiles[0].retrySafety = RetrySafety::deduplicated;
   settings.profiles[1].name = "quick";
   settings.tenants = {{"acme", 1, 0}};
-  Reading good = readAsk(request(), settings, 10);
-  REQUIRE(good.ask);
-  CHECK_EQ(good.ask->id, "9b1f03aa5c7e2d41");
-  CHECK_EQ(good.ask->endsAt, doctest::Approx(11.5));
-  CHECK_EQ(good.ask->work, doctest::Approx(0.8205));
-  CHECK_EQ(good.ask->memoryMb, 96);
-  CHECK_EQ(*good.ask->key, 0x7f3a9c21e0b4d655);
-  CHECK_EQ(good.ask->tables, 17);
+  ParsedRequest good = parseCommandRequest(request(), settings, 10);
+  REQUIRE(good.request);
+  CHECK_EQ(good.request->id, "9b1f03aa5c7e2d41");
+  CHECK_EQ(good.request->clientDeadline, doctest::Approx(11.5));
+  CHECK_EQ(good.request->estimatedWork, doctest::Approx(0.8205));
+  CHECK_EQ(good.request->estimatedMemoryMb, 96);
+  CHECK_EQ(*good.request->orderingKey, 0x7f3a9c21e0b4d655);
+  CHECK_EQ(good.request->tableGroup, 17);
   auto status = [&](std::initializer_list<std::pair<const char*, const char*>> changed,
                     const char* path = "/do/report") {
-    Reading reading = readAsk(request(changed, path), settings, 10);
-    return reading.ask ? 0 : reading.status;
+    ParsedRequest reading = parseCommandRequest(request(changed, path), settings, 10);
+    return reading.request ? 0 : reading.status;
   };
   CHECK_EQ(status({{"req-cost", "-"}, {"x-ram", "-"}, {"req-key", "-"}}), 0);
   CHECK_EQ(status({{"req-token", "-"}}, "/do/quick"), 0);
   CHECK_EQ(status({}, "/do/other"), 404);
-  settings.kinds = {{"std", 8, 9}};
+  settings.engineKinds = {{"std", 8, 9}};
   CHECK_EQ(status({}), 400);  // more than ten times what the largest engine has
-  settings.kinds.clear();
+  settings.engineKinds.clear();
   for (auto name : {"req-id", "req-wait-ms", "req-owner", "req-token"})
     CHECK_EQ(status({{name, "-"}}), 400);
   for (auto& [name, value] :
@@ -396,15 +399,15 @@
 TEST_CASE("the configuration") {
   Config config = readConfig(configJson());
   CHECK_EQ(config.seed, 0x8c1f30d27a5be964);
-  CHECK_EQ(config.links.sendsPerConnection, 32);
-  CHECK_EQ(config.links.connectTimeout, 0.25);
-  CHECK(config.links.reports);
-  REQUIRE_EQ(config.known.size(), 3);
-  CHECK(config.known[0].whole);
-  CHECK_EQ(config.known[0].rows[0].row.id, 0xc41f7a);
-  CHECK_EQ(config.known[0].rows[0].bornMs, 5);
-  CHECK_EQ(int(config.known[1].rows[0].row.state), int(NodeState::gone));
-  CHECK_EQ(config.known[2].number, 3);  // so many are known, though the last ones held no news
+  CHECK_EQ(config.connectionSettings.sendsPerConnection, 32);
+  CHECK_EQ(config.connectionSettings.connectTimeout, 0.25);
+  CHECK(config.connectionSettings.loadReports);
+  REQUIRE_EQ(config.initialEvents.size(), 3);
+  CHECK(config.initialEvents[0].isFullList);
+  CHECK_EQ(config.initialEvents[0].engines[0].record.id, 0xc41f7a);
+  CHECK_EQ(config.initialEvents[0].engines[0].startedAtUnixMs, 5);
+  CHECK_EQ(int(config.initialEvents[1].engines[0].record.state), int(EngineState::removed));
+  CHECK_EQ(config.initialEvents[2].sequence, 3);  // so many are known, though the last ones held no news
 }
 
 TEST_CASE("what is wrong with the configuration is told by the key's name") {
