--- a/bench/members_bench.cpp
+++ b/bench/members_bench.cpp
@@ -5,10 +5,10 @@
 #include <cstdlib>
 #include <vector>
 
-#include "lab/gossip.h"
+#include "lab/membership_simulation.h"
 
 using namespace elmcleat;
-using lab::Gossip;
+using lab::MembershipSimulation;
 
 namespace {
 
@@ -36,45 +36,45 @@
     double quietBytes = 0, quietCpu = 0, worst = 0, streams = 0;
     int downs = 0;
     for (int seed = 1; seed <= seeds; ++seed) {
-      Gossip fleet(Gossip::plan(size), uint64_t(seed));
+      MembershipSimulation fleet(MembershipSimulation::settingsFor(size), uint64_t(seed));
       auto rate = [&](double span) { return double(fleet.bytes()) / size / span / 1000; };
       auto busiest = [&](double took) {
         if (took < 0)
           return;
         fleet.run(fleet.now() + std::max(5 - took, 0.0));
         worst = std::max(worst, rate(std::max(5.0, took)));
-        streams += double(fleet.streams()) / size, downs += fleet.downs();
+        streams += double(fleet.streams()) / size, downs += fleet.downDetections();
       };
       fleet.startAll();
-      double took = fleet.untilAgreed(30);
+      double took = fleet.runUntilConverged(30);
       start.add(took), busiest(took);
       fleet.run(fleet.now() + 5), fleet.reset();
       fleet.run(fleet.now() + 10);
       quietBytes += rate(10) / seeds, quietCpu += fleet.cpu() / size / 10 / seeds;
-      downs += fleet.downs();
-      fleet.reset(), fleet.kill(1), took = fleet.untilAgreed(30), dies.add(took), busiest(took);
+      downs += fleet.downDetections();
+      fleet.reset(), fleet.kill(1), took = fleet.runUntilConverged(30), dies.add(took), busiest(took);
       fleet.run(fleet.now() + 5), fleet.reset();
-      fleet.start(1), took = fleet.untilAgreed(30), back.add(took), busiest(took);
+      fleet.start(1), took = fleet.runUntilConverged(30), back.add(took), busiest(took);
       fleet.run(fleet.now() + 5), fleet.reset();
       for (int i = 2; i < 2 + size / 10; ++i)
         fleet.kill(i);
-      took = fleet.untilAgreed(30), tenth.add(took), busiest(took);
+      took = fleet.runUntilConverged(30), tenth.add(took), busiest(took);
       for (int i = 2; i < 2 + size / 10; ++i)
         fleet.start(i);
-      fleet.untilAgreed(30), fleet.run(fleet.now() + 5), fleet.reset();
+      fleet.runUntilConverged(30), fleet.run(fleet.now() + 5), fleet.reset();
       for (int i = 0; i < size * 7 / 10; ++i)
         fleet.kill(i);
-      took = fleet.untilAgreed(30), most.add(took), busiest(took), fleet.reset();
+      took = fleet.runUntilConverged(30), most.add(took), busiest(took), fleet.reset();
       for (int i = 0; i < size * 7 / 10; ++i)
         fleet.start(i);
-      fleet.untilAgreed(30), fleet.run(fleet.now() + 5);
+      fleet.runUntilConverged(30), fleet.run(fleet.now() + 5);
       std::vector<int> third;
       for (int i = 0; i < size / 3; ++i)
         third.push_back(i);
-      fleet.part(third), fleet.run(fleet.now() + 30), fleet.part(third, false), fleet.reset();
-      took = fleet.untilAgreed(30), healed.add(took), busiest(took);
-      if (!fleet.broken().empty())
-        return std::printf("seed %d: %s\n", seed, fleet.broken().c_str()), 1;
+      fleet.partition(third), fleet.run(fleet.now() + 30), fleet.partition(third, false), fleet.reset();
+      took = fleet.runUntilConverged(30), healed.add(took), busiest(took);
+      if (!fleet.violation().empty())
+        return std::printf("seed %d: %s\n", seed, fleet.violation().c_str()), 1;
     }
     std::printf(
         "| %d | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.2f, %.5f | "
--- a/src/lab/check.cpp
+++ b/src/lab/check.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <unordered_map>
 
-#include "lab/record.h"
+#include "lab/run_record.h"
 
 namespace elmcleat::lab {
 namespace {
@@ -16,28 +16,29 @@
 
 }  // namespace
 
-std::vector<std::string> brokenRules(const Scenario& scene, const Record& record) {
+std::vector<std::string> brokenRules(const Scenario& scene, const RunRecord& record) {
   std::vector<std::string> broken;
   auto say = [&](int rule, uint64_t command, double at, const std::string& what) {
     if (broken.size() < 20)
       broken.push_back("rule " + std::to_string(rule) + " at " + std::to_string(at) + " s, command " +
                        std::to_string(command) + ": " + what);
   };
-  std::vector<Life> lives(record.asked.size());
+  std::vector<Life> lives(record.commands.size());
   std::unordered_map<uint64_t, double> drained;  // by gateway and node: told when
-  for (auto& row : record.rows) {
+  for (auto& row : record.events) {
     uint64_t place = uint64_t(row.gateway) << 32 | row.node;
-    if (row.mark == Mark::drained)
+    if (row.mark == RunEventKind::drained)
       drained.try_emplace(place, row.at);
-    if (row.mark == Mark::told)
+    if (row.mark == RunEventKind::told)
       drained.erase(place);
-    if (row.mark == Mark::drained || row.mark == Mark::told || row.mark == Mark::taken)
+    if (row.mark == RunEventKind::drained || row.mark == RunEventKind::told ||
+        row.mark == RunEventKind::taken)
       continue;
     Life& life = lives[row.command];
-    const Asked& asked = record.asked[row.command];
+    const CommandRecord& asked = record.commands[row.command];
     const Profile& profile = scene.settings.profiles[asked.profile];
     switch (row.mark) {
-      case Mark::sent:
+      case RunEventKind::sent:
         if (life.finals > 0)
           say(1, row.command, row.at, "sent after its answer");
         if (life.out > 0)
@@ -51,25 +52,26 @@
               "sent to node " + std::to_string(row.node) + ", drained since " + std::to_string(told->second));
         ++life.out;
         break;
-      case Mark::ran:
+      case RunEventKind::ran:
         ++life.ran;
         break;
-      case Mark::over:
+      case RunEventKind::over:
         --life.out;
         break;
       default:
         if (++life.finals > 1)
           say(1, row.command, row.at, "a second answer");
-        if (row.mark == Mark::shed && life.ran > 0 && profile.retrySafety == RetrySafety::nonReplayable)
+        if (row.mark == RunEventKind::shed && life.ran > 0 &&
+            profile.retrySafety == RetrySafety::nonReplayable)
           say(2, row.command, row.at, "non-replayable, has run, and was shed");
         if (row.at > asked.timeoutAt + kGrace)
           say(1, row.command, row.at, "answered after its client's end");
     }
   }
-  double end = scene.lasts;
+  double end = scene.duration;
   for (size_t i = 0; i < lives.size(); ++i)
-    if (lives[i].finals == 0 && record.asked[i].timeoutAt + kGrace < end)
-      say(1, i, record.asked[i].timeoutAt, "no answer");
+    if (lives[i].finals == 0 && record.commands[i].timeoutAt + kGrace < end)
+      say(1, i, record.commands[i].timeoutAt, "no answer");
   if (record.fell > 0)
     say(4, 0, 0, std::to_string(record.fell) + " cold engines pushed over");
   return broken;
--- a/src/lab/events.h
+++ b/src/lab/event_queue.h
@@ -9,13 +9,13 @@
 
 namespace elmcleat::lab {
 
-class Events {
+class EventQueue {
  public:
-  void at(double time, std::function<void()> act) {
+  void schedule(double time, std::function<void()> act) {
     heap_.push_back({time, ++count_, std::move(act)});
     std::push_heap(heap_.begin(), heap_.end(), later);
   }
-  bool next(double& now) {
+  bool runNext(double& now) {
     if (heap_.empty())
       return false;
     std::pop_heap(heap_.begin(), heap_.end(), later);
--- a/src/lab/figures.cpp
+++ b/src/lab/figures.cpp
@@ -2,13 +2,13 @@
 #include <cmath>
 #include <set>
 
-#include "lab/record.h"
+#include "lab/run_record.h"
 
 namespace elmcleat::lab {
 namespace {
 
 // Shares of hits and the median error, of waits that came in a span.
-void waitFigures(const std::vector<Wait>& waits, double from, double to, const std::string& name,
+void waitFigures(const std::vector<WaitRecord>& waits, double from, double to, const std::string& name,
                  std::map<std::string, double>& figures) {
   double half = 0, nine = 0;
   std::vector<double> errors;
@@ -41,14 +41,14 @@
 }
 
 // How evenly engines were used, by how many gateways, and how far cold ones.
-void engineFigures(const Scenario& scene, const Record& record, std::map<std::string, double>& figures) {
+void engineFigures(const Scenario& scene, const RunRecord& record, std::map<std::string, double>& figures) {
   std::vector<double> work(size_t(scene.fleet.engines));
   std::set<std::pair<uint32_t, uint32_t>> pairs;
-  for (auto& row : record.rows) {
-    if (row.mark == Mark::sent)
+  for (auto& row : record.events) {
+    if (row.mark == RunEventKind::sent)
       pairs.emplace(row.node, row.gateway);
-    if (row.mark == Mark::ran && row.at >= scene.from)
-      work[row.node] += record.asked[row.command].work;
+    if (row.mark == RunEventKind::ran && row.at >= scene.measuredFrom)
+      work[row.node] += record.commands[row.command].work;
   }
   std::vector<double> users(work.size());
   for (auto& [node, gateway] : pairs)
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-std::map<std::string, double> figuresOf(const Scenario& scene, const Record& record) {
+std::map<std::string, double> figuresOf(const Scenario& scene, const RunRecord& record) {
   std::map<std::string, double> figures;
   const auto& profiles = scene.settings.profiles;
   struct Part {
@@ -71,35 +71,35 @@
   };
   Part all;
   std::vector<Part> teams(scene.teams.size()), byProfile(profiles.size());
-  std::vector<double> best(record.asked.size(), 0);  // by first command: a client's tries count as one
-  std::vector<double> firstSent(record.asked.size(), -1);
+  std::vector<double> best(record.commands.size(), 0);  // by first command: a client's tries count as one
+  std::vector<double> firstSent(record.commands.size(), -1);
   double most = 0, sheds = 0;
   std::vector<double> mostByTeam(teams.size());
-  for (auto& row : record.rows) {
-    if (row.mark == Mark::sent && firstSent[row.command] < 0) {
+  for (auto& row : record.events) {
+    if (row.mark == RunEventKind::sent && firstSent[row.command] < 0) {
       firstSent[row.command] = row.at;
-      most = std::max(most, row.at - record.asked[row.command].at);
-      auto& its = mostByTeam[record.asked[row.command].team];
-      its = std::max(its, row.at - record.asked[row.command].at);
+      most = std::max(most, row.at - record.commands[row.command].at);
+      auto& its = mostByTeam[record.commands[row.command].team];
+      its = std::max(its, row.at - record.commands[row.command].at);
     }
-    sheds += row.mark == Mark::shed;
-    if (row.mark != Mark::answered)
+    sheds += row.mark == RunEventKind::shed;
+    if (row.mark != RunEventKind::answered)
       continue;
-    const Asked& asked = record.asked[row.command];
-    const Asked& first = record.asked[asked.first];
+    const CommandRecord& asked = record.commands[row.command];
+    const CommandRecord& first = record.commands[asked.first];
     const Profile& profile = profiles[asked.profile];
     double worth = row.at <= first.targetAt ? 1 : profile.lateBenefitShare;
     best[asked.first] = std::max(best[asked.first], worth);
-    if (first.at >= scene.from && first.timeoutAt <= scene.lasts)
+    if (first.at >= scene.measuredFrom && first.timeoutAt <= scene.duration)
       teams[asked.team].work += asked.work;
   }
   double longest = 0;  // only what could be over by the end counts
   for (auto& profile : profiles)
     longest = std::max(longest, profile.clientTimeout);
-  double end = scene.lasts - longest;
-  for (size_t i = 0; i < record.asked.size(); ++i) {
-    const Asked& asked = record.asked[i];
-    if (asked.first != i || asked.at < scene.from || asked.timeoutAt > scene.lasts)
+  double end = scene.duration - longest;
+  for (size_t i = 0; i < record.commands.size(); ++i) {
+    const CommandRecord& asked = record.commands[i];
+    if (asked.first != i || asked.at < scene.measuredFrom || asked.timeoutAt > scene.duration)
       continue;
     double benefit = profiles[asked.profile].benefit;
     for (Part* part : {&all, &teams[asked.team], &byProfile[asked.profile]})
@@ -115,21 +115,23 @@
     for (auto& entry :
          scene.budgets->entries)  // of what it was guaranteed and asked for, the part that it got
       if (entry.name == scene.teams[i].name && entry.settings.guarantee.cores) {
-        double due = std::min(*entry.settings.guarantee.cores * (end - scene.from), teams[i].workAsked);
+        double due =
+            std::min(*entry.settings.guarantee.cores * (end - scene.measuredFrom), teams[i].workAsked);
         figures["kept." + entry.name] = due > 0 ? std::min(1.0, teams[i].work / due) : 1;
       }
   }
   for (size_t i = 0; i < byProfile.size(); ++i)
     figures["benefit.profile." + profiles[i].name] = share(byProfile[i]);
   std::vector<double> lost(3 * teams.size());  // by team: shed, failed, late
-  for (auto& row : record.rows) {
-    if (row.mark != Mark::shed && row.mark != Mark::failed && row.mark != Mark::answered)
+  for (auto& row : record.events) {
+    if (row.mark != RunEventKind::shed && row.mark != RunEventKind::failed &&
+        row.mark != RunEventKind::answered)
       continue;
-    const Asked& asked = record.asked[row.command];
-    if (asked.first != row.command || asked.at < scene.from || asked.timeoutAt > scene.lasts)
+    const CommandRecord& asked = record.commands[row.command];
+    if (asked.first != row.command || asked.at < scene.measuredFrom || asked.timeoutAt > scene.duration)
       continue;
-    bool late = row.mark == Mark::answered && row.at > asked.targetAt;
-    size_t how = row.mark == Mark::shed ? 0 : row.mark == Mark::failed ? 1 : 2;
+    bool late = row.mark == RunEventKind::answered && row.at > asked.targetAt;
+    size_t how = row.mark == RunEventKind::shed ? 0 : row.mark == RunEventKind::failed ? 1 : 2;
     if (how < 2 || late)
       lost[3 * asked.team + how] += profiles[asked.profile].benefit;
   }
@@ -140,22 +142,22 @@
                : how == 1 ? ".failed"
                           : ".late")] = teams[i].asked > 0 ? lost[3 * i + how] / teams[i].asked : 0;
   figures["held.most"] = most;
-  figures["shed"] = record.asked.empty() ? 0 : sheds / double(record.asked.size());
-  std::vector<Wait> answered;
-  std::vector<bool> was(record.asked.size());
-  for (auto& row : record.rows)
-    if (row.mark == Mark::answered)
+  figures["shed"] = record.commands.empty() ? 0 : sheds / double(record.commands.size());
+  std::vector<WaitRecord> answered;
+  std::vector<bool> was(record.commands.size());
+  for (auto& row : record.events)
+    if (row.mark == RunEventKind::answered)
       was[row.command] = true;
   for (auto& wait : record.waits)
     if (was[wait.command])
       answered.push_back(wait);
-  waitFigures(answered, scene.from, scene.lasts, "waits", figures);
-  for (auto& trouble : scene.troubles)
-    if (trouble.kind == "slow")
-      waitFigures(answered, trouble.at, trouble.at + trouble.lasts, "waits.slow", figures);
+  waitFigures(answered, scene.measuredFrom, scene.duration, "waits", figures);
+  for (auto& disturbance : scene.disturbances)
+    if (disturbance.kind == "slow")
+      waitFigures(answered, disturbance.at, disturbance.at + disturbance.lasts, "waits.slow", figures);
   engineFigures(scene, record, figures);
   figures["rules"] = double(brokenRules(scene, record).size());
-  figures["faster"] = record.realSeconds > 0 ? scene.lasts / record.realSeconds : 0;
+  figures["faster"] = record.realSeconds > 0 ? scene.duration / record.realSeconds : 0;
   return figures;
 }
 
--- a/src/lab/hollow_clients.cpp
+++ b/src/lab/hollow_clients.cpp
@@ -4,7 +4,7 @@
 
 #include "lab/hollow.h"
 #include "lab/hollow_loop.h"
-#include "lab/http_answer.h"
+#include "lab/http_response.h"
 #include "runtime/stream.h"
 
 namespace elmcleat::lab {
@@ -55,7 +55,7 @@
       close(line);
   };
   auto heard = [&](const Held& line) {
-    auto status = takeAnswer(line->in);
+    auto status = takeResponseStatus(line->in);
     if (!status)
       return;
     if (!std::exchange(line->asked, false) || !line->in.empty()) {
--- a/src/lab/http_answer.h
+++ b/src/lab/http_response.h
@@ -7,7 +7,7 @@
 namespace elmcleat::lab {
 
 // Takes the first whole answer off `bytes` and tells its status, as "200"; nothing while there is none.
-inline std::optional<std::string> takeAnswer(std::string& bytes) {
+inline std::optional<std::string> takeResponseStatus(std::string& bytes) {
   size_t head = bytes.find("\r\n\r\n");
   if (head == std::string::npos)
     return std::nullopt;
--- a/src/lab/lending.cpp
+++ b/src/lab/lease_simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/lending.h"
+#include "lab/lease_simulation.h"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 
 using namespace shared;
 
-Lending::Lending(LeaseSettings terms, uint64_t seed, double drift)
+LeaseSimulation::LeaseSimulation(LeaseSettings terms, uint64_t seed, double drift)
     : settings_(std::move(terms)),
       chance_(seed),
       lives_(seed << 20),
@@ -20,7 +20,7 @@
     start(i);
 }
 
-void Lending::start(int member) {
+void LeaseSimulation::start(int member) {
   Host& host = hosts_[size_t(member)];
   ++lives_;
   host.leases = std::make_unique<LeaseManager>(settings_, member, lives_, lives_, clock(host));
@@ -30,12 +30,12 @@
   turn(member);
 }
 
-void Lending::kill(int member) {
+void LeaseSimulation::kill(int member) {
   hosts_[size_t(member)].leases.reset(), hosts_[size_t(member)].paused = false,
                                          ++hosts_[size_t(member)].version;
 }
 
-void Lending::pause(int member, bool is) {
+void LeaseSimulation::pause(int member, bool is) {
   Host& host = hosts_[size_t(member)];
   if (!host.leases || host.paused == is)
     return;
@@ -47,14 +47,14 @@
   turn(member);
 }
 
-void Lending::want(int member, size_t amount, double units) {
+void LeaseSimulation::setDemand(int member, size_t amount, double units) {
   Host& host = hosts_[size_t(member)];
   host.wants[amount] = units;
   if (host.leases)
     host.leases->setDemand(amount, units);
 }
 
-void Lending::part(int from, int to, bool is) {
+void LeaseSimulation::partition(int from, int to, bool is) {
   auto inside = [&](int one) { return one >= from && one < to; };
   for (int a = 0; a < settings_.memberCount; ++a)
     for (int b = 0; b < settings_.memberCount; ++b)
@@ -62,18 +62,18 @@
         cut(a, b, is);
 }
 
-void Lending::turn(int member) {
+void LeaseSimulation::turn(int member) {
   Host& host = hosts_[size_t(member)];
   host.leases->tick(clock(host));
   check();  // what is granted counts before the letter is on its way
   for (auto& message : host.leases->takeOutgoing()) {
     ++letters_;
-    for (int copy = 1 + (chance_.uniform() < copies); copy > 0; --copy) {
+    for (int copy = 1 + (chance_.uniform() < duplication); copy > 0; --copy) {
       if (chance_.uniform() < loss)
         continue;
-      double way = chance_.uniformBetween(least, most) +
-                   (chance_.uniform() < lateShare ? late * chance_.uniform() : 0);
-      events_.at(now_ + way, [this, message] {
+      double way = chance_.uniformBetween(minDelay, maxDelay) +
+                   (chance_.uniform() < lateShare ? lateDelay * chance_.uniform() : 0);
+      events_.schedule(now_ + way, [this, message] {
         Host& to = hosts_[size_t(message.to)];
         if (cut_[size_t(message.from)][size_t(message.to)] || !to.leases)
           return;
@@ -86,45 +86,45 @@
   }
   uint64_t version = ++host.version;
   double wakes = (host.leases->nextWakeUp() - host.offset) / host.speed;
-  events_.at(std::max(wakes, now_ + 1e-4), [this, member, version] {
+  events_.schedule(std::max(wakes, now_ + 1e-4), [this, member, version] {
     if (hosts_[size_t(member)].version == version)
       turn(member);
   });
 }
 
-double Lending::usable(int member, size_t amount) const {
+double LeaseSimulation::available(int member, size_t amount) const {
   const Host& host = hosts_[size_t(member)];
   return host.leases ? host.leases->available(amount, clock(host)) : 0;
 }
 
-double Lending::usable(size_t amount) const {
+double LeaseSimulation::available(size_t amount) const {
   double all = 0;
   for (int i = 0; i < settings_.memberCount; ++i)
-    all += usable(i, amount);
+    all += available(i, amount);
   return all;
 }
 
-double Lending::used(size_t amount) const {
+double LeaseSimulation::used(size_t amount) const {
   double all = 0;
   for (int i = 0; i < settings_.memberCount; ++i)
-    if (runs(i))
-      all += std::min(usable(i, amount), hosts_[size_t(i)].wants[amount]);
+    if (isRunning(i))
+      all += std::min(available(i, amount), hosts_[size_t(i)].wants[amount]);
   return all;
 }
 
-void Lending::check() {
+void LeaseSimulation::check() {
   if (!broken_.empty())
     return;
   for (size_t i = 0; i < settings_.quotas.size(); ++i)
-    if (double all = usable(i); all > settings_.quotas[i] * (1 + 1e-9))
+    if (double all = available(i); all > settings_.quotas[i] * (1 + 1e-9))
       broken_ = "at " + std::to_string(now_) + ": " + std::to_string(all) + " of " +
                 std::to_string(settings_.quotas[i]) + " may be used";
 }
 
-void Lending::run(double until) {
+void LeaseSimulation::run(double until) {
   bool reached = false;
-  events_.at(until, [&reached] { reached = true; });
-  while (!reached && events_.next(now_)) {
+  events_.schedule(until, [&reached] { reached = true; });
+  while (!reached && events_.runNext(now_)) {
   }
 }
 
--- a/src/lab/lending.h
+++ b/src/lab/lease_simulation.h
@@ -6,34 +6,34 @@
 #include <string>
 #include <vector>
 
-#include "lab/events.h"
+#include "lab/event_queue.h"
 #include "pcg32.h"
 #include "shared/lease_manager.h"
 
 namespace elmcleat::lab {
 
-class Lending {
+class LeaseSimulation {
  public:
-  Lending(shared::LeaseSettings terms, uint64_t seed, double drift = 1e-3);
+  LeaseSimulation(shared::LeaseSettings terms, uint64_t seed, double drift = 1e-3);
 
-  double least = 0.001, most = 0.005, loss = 0, copies = 0;  // of all letters; seconds, parts
-  double lateShare = 0, late = 0;                            // a part of them takes up to so long
+  double minDelay = 0.001, maxDelay = 0.005, loss = 0, duplication = 0;  // of all letters; seconds, parts
+  double lateShare = 0, lateDelay = 0;                                   // a part of them takes up to so long
 
-  void want(int member, size_t amount, double units);
+  void setDemand(int member, size_t amount, double units);
   void kill(int member);
   void start(int member);  // a new life
   void pause(int member, bool is);
   void cut(int from, int to, bool is) { cut_[size_t(from)][size_t(to)] = is; }
-  void part(int from, int to, bool is);  // members from..to-1 from all others, both ways
+  void partition(int from, int to, bool is);  // members from..to-1 from all others, both ways
   void run(double until);
   double now() const { return now_; }
-  bool runs(int member) const { return hosts_[size_t(member)].leases && !hosts_[size_t(member)].paused; }
+  bool isRunning(int member) const { return hosts_[size_t(member)].leases && !hosts_[size_t(member)].paused; }
 
-  double usable(int member, size_t amount) const;  // 0: it does not run
-  double usable(size_t amount) const;              // of all together, those included that stand still
-  double used(size_t amount) const;                // of that, what they want
-  const std::string& broken() const { return broken_; }
-  uint64_t letters() const { return letters_; }
+  double available(int member, size_t amount) const;  // 0: it does not run
+  double available(size_t amount) const;              // of all together, those included that stand still
+  double used(size_t amount) const;                   // of that, what they want
+  const std::string& violation() const { return broken_; }
+  uint64_t messages() const { return letters_; }
 
  private:
   struct Host {
@@ -50,7 +50,7 @@
 
   shared::LeaseSettings settings_;
   Pcg32 chance_;
-  Events events_;
+  EventQueue events_;
   double now_ = 0;
   uint64_t lives_ = 0, letters_ = 0;
   std::vector<Host> hosts_;
--- a/src/lab/members_scale.cpp
+++ b/src/lab/members_scale.cpp
@@ -21,35 +21,35 @@
 // From its making to close(): one phase.
 class Meter {
  public:
-  Meter(Gossip& fleet, int size, std::string name) : fleet_(fleet), size_(size) {
+  Meter(MembershipSimulation& fleet, int size, std::string name) : fleet_(fleet), size_(size) {
     phase_.name = std::move(name);
     fleet_.reset(), began_ = fleet_.now();
   }
-  void agrees(double most) { phase_.agreedIn = fleet_.untilAgreed(most); }
+  void agrees(double most) { phase_.agreedIn = fleet_.runUntilConverged(most); }
   void sample(double heldWrongly) { held_ += heldWrongly, ++samples_; }
   Phase close(double lasts) {
     fleet_.run(std::max(began_ + lasts, fleet_.now()));
     int there = 0;
     for (int i = 0; i < size_; ++i) {
-      there += fleet_.runs(i);
+      there += fleet_.isRunning(i);
       phase_.worstOfWorst = std::max(phase_.worstOfWorst, fleet_.traffic(i).worst());
     }
     double each = (fleet_.now() - began_) * there;
     phase_.bytes = double(fleet_.all().bytes()) / each, phase_.worst = fleet_.all().worst() / there;
     phase_.messages = double(fleet_.messages()) / each, phase_.cores = fleet_.cpu() / each;
-    phase_.heldWrongly = samples_ ? held_ / samples_ : 0, phase_.wrongDowns = fleet_.wrongDowns();
+    phase_.heldWrongly = samples_ ? held_ / samples_ : 0, phase_.wrongDowns = fleet_.falseDownDetections();
     phase_.streamsAtOnce = fleet_.streamsAtOnce(), phase_.largest = double(fleet_.largest());
     return phase_;
   }
 
  private:
-  Gossip& fleet_;
+  MembershipSimulation& fleet_;
   int size_, samples_ = 0;
   double began_ = 0, held_ = 0;
   Phase phase_;
 };
 
-void churn(Gossip& fleet, const MembersScene& scene, int size, double each, Meter& meter) {
+void churn(MembershipSimulation& fleet, const MembersScene& scene, int size, double each, Meter& meter) {
   double ends = fleet.now() + scene.lasts, next = fleet.now(), sampled = fleet.now();
   std::vector<std::pair<double, int>> away;  // when it starts again; the first is the earliest
   while (fleet.now() < ends || !away.empty()) {
@@ -60,29 +60,29 @@
       continue;
     }
     int who = int(fleet.chance().next() % uint32_t(size));
-    if (fleet.runs(who))
+    if (fleet.isRunning(who))
       fleet.leave(who), away.push_back({fleet.now() + scene.awayTime, who});
     next += each;
     if (fleet.now() >= sampled + 5)
-      sampled = fleet.now(), meter.sample(fleet.heldWrongly());
+      sampled = fleet.now(), meter.sample(fleet.inaccurateShare());
   }
 }
 
 // While regions are cut off: part of what is held that is not "my own region is there, and nobody else".
-double heldOfOtherRegions(const Gossip& fleet, int size) {
+double heldOfOtherRegions(const MembershipSimulation& fleet, int size) {
   double wrong = 0;
   for (int a = 0; a < size; ++a)
     for (int b = 0; b < size; ++b)
-      wrong += fleet.core(a).statusOf(b).isPresent() != (fleet.regionOf(a) == fleet.regionOf(b));
+      wrong += fleet.membership(a).statusOf(b).isPresent() != (fleet.regionOf(a) == fleet.regionOf(b));
   return wrong / size / size;
 }
 
 }  // namespace
 
-Played play(const MembersScene& scene, int size, int regions, uint64_t seed, int target) {
+SceneResult simulate(const MembersScene& scene, int size, int regions, uint64_t seed, int target) {
   using Kind = MembersScene::Kind;
-  Played played;
-  Gossip fleet(Gossip::plan(size), seed);
+  SceneResult played;
+  MembershipSimulation fleet(MembershipSimulation::settingsFor(size), seed);
   fleet.regions(regions);
   if (scene.kind == Kind::quiet) {
     Meter meter(fleet, size, "all start");
@@ -90,7 +90,7 @@
     played.phases.push_back(meter.close(kAfter));
   } else {
     fleet.startAll();
-    if (fleet.untilAgreed(60) < 0)
+    if (fleet.runUntilConverged(60) < 0)
       played.broken = "no agreement within 60 s of the start";
   }
   fleet.run(fleet.now() + kSettle);
@@ -133,13 +133,13 @@
     }
   }
   if (played.broken.empty())
-    played.broken = fleet.broken();
+    played.broken = fleet.violation();
   return played;
 }
 
 double bytesOfCore(int size) {
   using namespace members;
-  MembershipSettings plan = Gossip::plan(size);
+  MembershipSettings plan = MembershipSimulation::settingsFor(size);
   auto inUse = [] {
     auto info = ::mallinfo2();
     return double(info.uordblks + info.hblkhd);
@@ -257,8 +257,8 @@
   file.missing.insert(file.missing.end(), earlier.missing.begin(), earlier.missing.end());
 }
 
-FiguresFile playMembers(const MembersPlan& plan, int threads,
-                        const std::function<void(const FiguresFile&, const std::string&)>& done) {
+FiguresFile runMembersScale(const MembersPlan& plan, int threads,
+                            const std::function<void(const FiguresFile&, const std::string&)>& done) {
   FiguresFile base;
   base.machine = machineHere();
   Figure memory{"members.memory",
@@ -295,7 +295,7 @@
           return;
         job = jobs[next++];
       }
-      Played played = play(*job.scene, job.size, plan.regions, uint64_t(job.seed), plan.target);
+      SceneResult played = simulate(*job.scene, job.size, plan.regions, uint64_t(job.seed), plan.target);
       std::lock_guard held(lock);
       std::string line =
           job.scene->name + ", " + std::to_string(job.size) + ", seed " + std::to_string(job.seed);
--- a/src/lab/members_scale.h
+++ b/src/lab/members_scale.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "lab/figures_file.h"
-#include "lab/gossip.h"
+#include "lab/membership_simulation.h"
 
 namespace elmcleat::lab {
 
@@ -46,11 +46,11 @@
   double wrongDowns = 0;  // of life that ran and could be reached, by all who found it
   double streamsAtOnce = 0, largest = 0;
 };
-struct Played {
+struct SceneResult {
   std::vector<Phase> phases;
   std::string broken;  // what must hold and did not
 };
-Played play(const MembersScene& scene, int size, int regions, uint64_t seed, int target = 2400);
+SceneResult simulate(const MembersScene& scene, int size, int regions, uint64_t seed, int target = 2400);
 
 // Bytes of a core that has heard of all, and of the wire's names. 0 under sanitizers, which keep their own
 // heap.
@@ -60,7 +60,8 @@
 void addEarlier(FiguresFile& file, const FiguresFile& earlier);
 
 // Plays all, on so many threads, the longest first; `done` is told after each, never twice at once.
-FiguresFile playMembers(const MembersPlan& plan, int threads,
-                        const std::function<void(const FiguresFile& sofar, const std::string& line)>& done);
+FiguresFile runMembersScale(
+    const MembersPlan& plan, int threads,
+    const std::function<void(const FiguresFile& sofar, const std::string& line)>& done);
 
 }  // namespace elmcleat::lab
--- a/src/lab/gossip.cpp
+++ b/src/lab/membership_simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/gossip.h"
+#include "lab/membership_simulation.h"
 
 #include <time.h>
 
@@ -20,16 +20,16 @@
 
 }  // namespace
 
-MembershipSettings Gossip::plan(int count) {
-  MembershipSettings plan;
-  plan.fleet = "laboratory";
+MembershipSettings MembershipSimulation::settingsFor(int count) {
+  MembershipSettings settings;
+  settings.fleet = "laboratory";
   for (int i = 0; i < count; ++i)
-    plan.peers.push_back({"n" + std::to_string(i), {0x7f000000u + uint32_t(i) + 1, 4300}});
-  return plan;
+    settings.peers.push_back({"n" + std::to_string(i), {0x7f000000u + uint32_t(i) + 1, 4300}});
+  return settings;
 }
 
-Gossip::Gossip(MembershipSettings plan, uint64_t seed)
-    : settings_(std::move(plan)),
+MembershipSimulation::MembershipSimulation(MembershipSettings settings, uint64_t seed)
+    : settings_(std::move(settings)),
       codec_(settings_),
       chance_(seed),
       hosts_(settings_.peers.size()),
@@ -42,7 +42,7 @@
 }
 
 // --- what happens to processes
-void Gossip::start(int member, double clockOff) {
+void MembershipSimulation::start(int member, double clockOff) {
   Host& its = host(member);
   ProcessInstance life{uint64_t(1e12 + now_ * 1e3 + clockOff * 1e3), 1};
   its.membership = std::make_unique<Membership>(settings_, member, life, ++seeds_, now_);
@@ -51,31 +51,31 @@
   turn(its, nullptr);
 }
 
-void Gossip::startAll() {
+void MembershipSimulation::startAll() {
   for (size_t i = 0; i < hosts_.size(); ++i)
     start(int(i));
 }
 
-void Gossip::kill(int member) {
+void MembershipSimulation::kill(int member) {
   host(member).membership.reset(), host(member).paused = false, ++host(member).version;
 }
 
-void Gossip::leave(int member) {
+void MembershipSimulation::leave(int member) {
   host(member).membership->leave(now_);
   turn(host(member), nullptr);
   kill(member);
 }
 
-void Gossip::pause(int member) { host(member).paused = true, ++host(member).version; }
+void MembershipSimulation::pause(int member) { host(member).paused = true, ++host(member).version; }
 
-void Gossip::resume(int member) {
+void MembershipSimulation::resume(int member) {
   host(member).paused = false;
   for (auto& bytes : std::exchange(host(member).waiting, {}))
     turn(host(member), &bytes);
   turn(host(member), nullptr);
 }
 
-void Gossip::second(int member) {
+void MembershipSimulation::startDuplicate(int member) {
   Host& made = seconds_.emplace_back();
   made.member = member;
   made.membership = std::make_unique<Membership>(
@@ -84,9 +84,9 @@
   turn(made, nullptr);
 }
 
-void Gossip::cut(int from, int to, bool is) { cut_[size_t(from)][size_t(to)] = is; }
+void MembershipSimulation::cut(int from, int to, bool is) { cut_[size_t(from)][size_t(to)] = is; }
 
-void Gossip::part(const std::vector<int>& apart, bool is) {
+void MembershipSimulation::partition(const std::vector<int>& apart, bool is) {
   std::vector<bool> inside(hosts_.size());
   for (int one : apart)
     inside[size_t(one)] = true;
@@ -96,10 +96,10 @@
         cut_[a][b] = is;
 }
 
-void Gossip::slow(int member, double by) { host(member).slow = by; }
+void MembershipSimulation::slow(int member, double by) { host(member).slow = by; }
 
 // --- turns
-void Gossip::turn(Host& its, const std::string* bytes) {
+void MembershipSimulation::turn(Host& its, const std::string* bytes) {
   if (!its.membership)
     return;
   double began = threadSeconds();
@@ -122,14 +122,14 @@
   cpu_ += threadSeconds() - began;
   for (auto& event : its.membership->takeEvents()) {
     touched_.push_back(event.member);
-    if (event.error || event.reason != "as seen from here" || !runs(event.member))
+    if (event.error || event.reason != "as seen from here" || !isRunning(event.member))
       continue;
     if (event.state == MemberState::down) {
       ++downs_[size_t(its.member)];
       bool apart =
           cut_[size_t(its.member)][size_t(event.member)] || cut_[size_t(event.member)][size_t(its.member)];
-      wrongDowns_ +=
-          !apart && its.membership->statusOf(event.member).instance == core(event.member).instance().instance;
+      wrongDowns_ += !apart && its.membership->statusOf(event.member).instance ==
+                                   membership(event.member).instance().instance;
     }
     if (event.state == MemberState::suspect)
       ++suspicions_[size_t(its.member)];
@@ -140,14 +140,14 @@
   uint64_t version = ++its.version;
   bool isSecond = !seconds_.empty() && &its == &seconds_[0];
   size_t place = size_t(its.member);
-  events_.at(std::max(wakes, now_ + 1e-4), [this, place, isSecond, version] {
+  events_.schedule(std::max(wakes, now_ + 1e-4), [this, place, isSecond, version] {
     Host& woken = isSecond ? seconds_[0] : hosts_[place];
     if (woken.version == version && !woken.paused)
       turn(woken, nullptr);
   });
 }
 
-void Gossip::deliver(int from, Host& to, const std::string& bytes) {
+void MembershipSimulation::deliver(int from, Host& to, const std::string& bytes) {
   bool stream = bytes.size() > Membership::kMaxDatagramBytes;
   bytes_ += bytes.size(), ++messages_, streams_ += stream;
   largest_ = std::max(largest_, bytes.size());
@@ -158,17 +158,17 @@
       streamsAtOnce_ = std::max(streamsAtOnce_, ++its->streams);
   if (bytes.size() > kMaxMessageBytes && broken_.empty())
     broken_ = "a message of " + std::to_string(bytes.size()) + " bytes";
-  const Weather& link = regions_ && regionOf(from) != regionOf(to.member) ? between : weather;
-  int copies = 1 + (chance_.uniform() < link.copies);
+  const NetworkConditions& link = regions_ && regionOf(from) != regionOf(to.member) ? regionNetwork : network;
+  int copies = 1 + (chance_.uniform() < link.duplication);
   for (int i = 0; i < copies; ++i) {
     if (!stream && chance_.uniform() < link.loss)
       continue;
-    double way = chance_.uniformBetween(link.least, link.most) * (stream ? 3 : 1) + to.slow;
+    double way = chance_.uniformBetween(link.minDelay, link.maxDelay) * (stream ? 3 : 1) + to.slow;
     int place = to.member;
     // Who is reached as a member, where two have its name, is a matter of chance.
     bool other = !seconds_.empty() && seconds_[0].member == place && chance_.uniform() < 0.5;
     bool counts = stream && i == 0;  // a copy is no second stream
-    events_.at(now_ + way, [this, from, place, other, counts, bytes] {
+    events_.schedule(now_ + way, [this, from, place, other, counts, bytes] {
       if (counts)
         --host(from).streams, --host(place).streams;
       if (cut_[size_t(from)][size_t(place)])
@@ -185,7 +185,7 @@
   }
 }
 
-bool Gossip::checkClaim(Host& its, int of) {
+bool MembershipSimulation::checkClaim(Host& its, int of) {
   if (of < 0)
     return true;
   const MemberStatus& claim = its.membership->statusOf(of);
@@ -205,7 +205,7 @@
 // others, round and round. So up to 64 members all are looked at each time; among more, a change by any other
 // way is found within N/64 turns of that member, about 3 s among 2,400. What went back and rose
 // again in between, by no row and no event, is not seen.
-void Gossip::check(Host& its) {
+void MembershipSimulation::check(Host& its) {
   if (!broken_.empty())
     return;
   const ProcessInstance& life = its.membership->instance();
@@ -225,16 +225,16 @@
     breaks(its, "it holds itself to be " + std::string(nameOf(own.state)));
 }
 
-void Gossip::run(double until) {
+void MembershipSimulation::run(double until) {
   bool reached = false;
-  events_.at(until, [&reached] { reached = true; });
-  while (!reached && events_.next(now_)) {
+  events_.schedule(until, [&reached] { reached = true; });
+  while (!reached && events_.runNext(now_)) {
   }
 }
 
 // Every pair is looked at before it is true. The search begins with the last pair that did not agree, which
 // mostly answers at once.
-bool Gossip::agreed() const {
+bool MembershipSimulation::hasConverged() const {
   for (size_t i = 0, n = hosts_.size(); i < n; ++i, wrongHost_ = (wrongHost_ + 1) % n) {
     auto& its = hosts_[wrongHost_];
     if (!its.membership || its.paused || its.membership->isDemoted())
@@ -246,7 +246,7 @@
   return true;
 }
 
-double Gossip::heldWrongly() const {
+double MembershipSimulation::inaccurateShare() const {
   double pairs = 0, wrong = 0;
   for (auto& its : hosts_)
     if (its.membership && !its.paused && !its.membership->isDemoted())
@@ -255,17 +255,17 @@
   return pairs > 0 ? wrong / pairs : 0;
 }
 
-double Gossip::untilAgreed(double most) {
+double MembershipSimulation::runUntilConverged(double most) {
   double began = now_;
   while (now_ < began + most) {
-    if (agreed())
+    if (hasConverged())
       return now_ - began;
     run(now_ + 0.02);
   }
   return -1;
 }
 
-void Gossip::reset() {
+void MembershipSimulation::reset() {
   bytes_ = messages_ = streams_ = 0, cpu_ = 0, wrongDowns_ = 0, largest_ = 0, streamsAtOnce_ = 0;
   traffic_.assign(hosts_.size(), Traffic(now_)), all_ = Traffic(now_);
   downs_.assign(hosts_.size(), 0), suspicions_ = downs_;
--- a/src/lab/gossip.h
+++ b/src/lab/membership_simulation.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/events.h"
+#include "lab/event_queue.h"
 #include "lab/traffic.h"
 #include "members/membership.h"
 #include "members/message_codec.h"
@@ -16,15 +16,15 @@
 
 namespace elmcleat::lab {
 
-struct Weather {                        // of all links that are not cut
-  double least = 0.0005, most = 0.003;  // seconds on the way
-  double loss = 0, copies = 0;          // parts of the messages
+struct NetworkConditions {                     // of all links that are not cut
+  double minDelay = 0.0005, maxDelay = 0.003;  // seconds on the way
+  double loss = 0, duplication = 0;            // parts of the messages
 };
 
-class Gossip {
+class MembershipSimulation {
  public:
-  Gossip(members::MembershipSettings plan, uint64_t seed);
-  static members::MembershipSettings plan(int count);
+  MembershipSimulation(members::MembershipSettings settings, uint64_t seed);
+  static members::MembershipSettings settingsFor(int count);
 
   void start(int member, double clockOff = 0);  // a new life; its clock is off by so many seconds
   void startAll();
@@ -32,36 +32,36 @@
   void leave(int member);
   void pause(int member);  // it stands still, and what comes waits for it
   void resume(int member);
-  void second(int member);  // another process under the same name, reached by some as that member
-  void cut(int from, int to, bool is = true);                // one direction
-  void part(const std::vector<int>& apart, bool is = true);  // these from all others, both ways
-  void slow(int member, double by);                          // what comes to it waits for so long
+  void startDuplicate(int member);  // another process under the same name, reached by some as that member
+  void cut(int from, int to, bool is = true);                     // one direction
+  void partition(const std::vector<int>& apart, bool is = true);  // these from all others, both ways
+  void slow(int member, double by);                               // what comes to it waits for so long
 
-  Weather weather;
+  NetworkConditions network;
   void regions(int count) { regions_ = count; }  // members in order; 0: `weather` is everywhere
-  Weather between{.least = 0.03, .most = 0.08};  // of links between regions
+  NetworkConditions regionNetwork{.minDelay = 0.03, .maxDelay = 0.08};  // of links between regions
   int regionOf(int member) const { return int(size_t(member) * size_t(regions_) / hosts_.size()); }
   void run(double until);
   double now() const { return now_; }
   Pcg32& chance() { return chance_; }
 
-  bool runs(int member) const {
+  bool isRunning(int member) const {
     return bool(hosts_[size_t(member)].membership) && !hosts_[size_t(member)].paused;
   }
-  const members::Membership& core(int member) const { return *hosts_[size_t(member)].membership; }
-  const members::Membership* secondCore(int member) const {
+  const members::Membership& membership(int member) const { return *hosts_[size_t(member)].membership; }
+  const members::Membership* duplicateMembership(int member) const {
     return seconds_.empty() || seconds_[0].member != member ? nullptr : seconds_[0].membership.get();
   }
   // Whether all that run hold the same: there is who runs, and nobody else.
-  bool agreed() const;
+  bool hasConverged() const;
   // Seconds until then, or a negative number if it takes longer than `most`.
-  double untilAgreed(double most);
+  double runUntilConverged(double most);
   // Members that run and that `by` (all, if below 0) found to be down itself, or suspected, each time.
-  int downs(int by = -1) const { return sum(downs_, by); }
+  int downDetections(int by = -1) const { return sum(downs_, by); }
   int suspicions(int by = -1) const { return sum(suspicions_, by); }
   // Of the downs: the life that was called down runs, and no link between the two is cut.
-  int wrongDowns() const { return wrongDowns_; }
-  double heldWrongly() const;  // part of all that is held of others by those that run
+  int falseDownDetections() const { return wrongDowns_; }
+  double inaccurateShare() const;  // part of all that is held of others by those that run
 
   // Of all members together, since reset().
   void reset();
@@ -74,7 +74,7 @@
   const Traffic& traffic(int member) const { return traffic_[size_t(member)]; }  // in and out
   const Traffic& all() const { return all_; }
 
-  const std::string& broken() const { return broken_; }  // the first thing that must hold and did not
+  const std::string& violation() const { return broken_; }  // the first thing that must hold and did not
 
  private:
   struct Host {
@@ -102,14 +102,14 @@
     return false;
   }
   bool held(const Host& host, int other) const {  // rightly
-    return host.membership->statusOf(other).isPresent() == runs(other);
+    return host.membership->statusOf(other).isPresent() == isRunning(other);
   }
   Host& host(int member) { return hosts_[size_t(member)]; }
 
   members::MembershipSettings settings_;
   members::MessageCodec codec_;
   Pcg32 chance_;
-  Events events_;
+  EventQueue events_;
   double now_ = 0;
   std::vector<Host> hosts_, seconds_;
   std::vector<std::vector<bool>> cut_;
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-std::map<std::string, double> gather(const Scenario& scene, const std::vector<Run>& runs) {
+std::map<std::string, double> meanFigures(const Scenario& scene, const std::vector<Run>& runs) {
   std::map<std::string, std::pair<double, double>> sums;
   for (auto& run : runs)
     for (auto& [name, value] : run.figures) {
@@ -58,7 +58,7 @@
   return figures;
 }
 
-std::vector<Verdict> judge(const Scenario& scene, const std::map<std::string, double>& figures) {
+std::vector<Verdict> checkExpectations(const Scenario& scene, const std::map<std::string, double>& figures) {
   std::vector<Verdict> verdicts;
   for (auto& expect : scene.expect) {
     Verdict verdict{expect.figure, NAN, expect.least, expect.most, false};
--- a/src/lab/report.h
+++ b/src/lab/report.h
@@ -2,14 +2,14 @@
 #pragma once
 #include <ostream>
 
-#include "lab/record.h"
+#include "lab/run_record.h"
 
 namespace elmcleat::lab {
 
 struct Run {
   std::string variant;
   uint64_t seed = 0;
-  Record record;
+  RunRecord record;
   std::map<std::string, double> figures;
   std::vector<std::string> broken;
 };
@@ -22,8 +22,8 @@
 
 // Means over seeds; names as in figuresOf, `VARIANT:name` for those beside it, `lost.TEAM` for what the burst cost,
 // `gained` for what the view brought.
-std::map<std::string, double> gather(const Scenario& scene, const std::vector<Run>& runs);
-std::vector<Verdict> judge(const Scenario& scene, const std::map<std::string, double>& figures);
+std::map<std::string, double> meanFigures(const Scenario& scene, const std::vector<Run>& runs);
+std::vector<Verdict> checkExpectations(const Scenario& scene, const std::map<std::string, double>& figures);
 
 void printTable(std::ostream& to, const Scenario& scene, const std::vector<Run>& runs,
                 const std::map<std::string, double>& figures, const std::vector<Verdict>& verdicts);
--- a/src/lab/record.h
+++ b/src/lab/run_record.h
@@ -9,34 +9,35 @@
 
 namespace elmcleat::lab {
 
-enum class Mark : uint8_t { taken, sent, ran, over, answered, shed, failed, told, drained };
+enum class RunEventKind : uint8_t { taken, sent, ran, over, answered, shed, failed, told, drained };
 
-struct Row {
+struct RunEvent {
   double at = 0;
-  Mark mark{};
+  RunEventKind mark{};
   uint32_t gateway = 0, node = 0;
   uint64_t command = 0;
 };
-struct Asked {  // a command; retries of a client are commands of their own, with the first one's number
+struct
+    CommandRecord {  // a command; retries of a client are commands of their own, with the first one's number
   uint64_t first = 0;
   uint32_t team = 0, profile = 0;
   double at = 0, work = 0, targetAt = 0, timeoutAt = 0;
   uint32_t gate = 0, tables = 0;  // which gateway was asked; its group of tables
 };
-struct Wait {
+struct WaitRecord {
   double at = 0, half = 0, nine = 0, seen = 0;  // when it came; told; held
   uint64_t command = 0;
 };
-struct Second {                             // of the run, for plots
+struct SecondRecord {                       // of the run, for plots
   std::vector<double> asked, earned, work;  // by team: benefit, benefit, work done
   double held = 0, busy = 0;                // commands; part of all cores
 };
 
-struct Record {
-  std::vector<Row> rows;
-  std::vector<Asked> asked;
-  std::vector<Wait> waits;
-  std::vector<Second> seconds;
+struct RunRecord {
+  std::vector<RunEvent> events;
+  std::vector<CommandRecord> commands;
+  std::vector<WaitRecord> waits;
+  std::vector<SecondRecord> seconds;
   std::vector<double> load;           // threads a core of each engine that is up, every second
   double coldBusy = 0, coldAble = 0;  // cores of cold engines in use, and there, summed every second
   uint64_t fell = 0;                  // cold engines pushed over
@@ -44,11 +45,11 @@
 };
 
 // Broken rules, a line each; empty: none.
-std::vector<std::string> brokenRules(const Scenario& scene, const Record& record);
+std::vector<std::string> brokenRules(const Scenario& scene, const RunRecord& record);
 
 // Figures by name: benefit, benefit.TEAM, benefit.profile.NAME, kept.TEAM, waits.half, waits.nine, waits.error,
 // waits.slow.half, waits.slow.nine, held.most, shed, rules; engines.work.p99|most and
 // engines.threads.p99|most over their means, engines.users|users.most (gateways that sent to one), cold.used, cold.fell.
-std::map<std::string, double> figuresOf(const Scenario& scene, const Record& record);
+std::map<std::string, double> figuresOf(const Scenario& scene, const RunRecord& record);
 
 }  // namespace elmcleat::lab
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -22,7 +22,7 @@
   std::cerr << plan.name << ": " << trials << " trials, " << 3 * plan.real + 3
             << " processes at once, at most " << plan.mostSeconds << " s and " << int(bounds.mostMb)
             << " MB\n";
-  Found found;
+  FigureCollector found;
   for (auto& run : plan.runs)
     for (int engines : run.engines)
       for (auto& [variant, gateway] : plan.variants) {
--- a/src/lab/scale_trial.cpp
+++ b/src/lab/scale_trial.cpp
@@ -58,8 +58,8 @@
 
 }  // namespace
 
-void Found::add(const std::string& figure, const std::string& unit, const std::string& xName, double x,
-                double y) {
+void FigureCollector::add(const std::string& figure, const std::string& unit, const std::string& xName,
+                          double x, double y) {
   auto at = std::ranges::find_if(
       all_, [&](const Taken& one) { return one.of.name == figure && one.of.variant == variant; });
   if (at == all_.end()) {
@@ -70,7 +70,7 @@
   at->values[x].push_back(y);
 }
 
-std::vector<Figure> Found::figures(const ScalePlan& plan) const {
+std::vector<Figure> FigureCollector::figures(const ScalePlan& plan) const {
   std::vector<Figure> figures;
   for (auto& taken : all_) {
     Figure& one = figures.emplace_back(taken.of);
@@ -86,7 +86,7 @@
 }
 
 Trial::Trial(const ScalePlan& plan, const std::string& program, const ScaleFolder& folder,
-             ScaleBounds& bounds, Found& found, int engines, const Json& gateway)
+             ScaleBounds& bounds, FigureCollector& found, int engines, const Json& gateway)
     : plan_(plan), program_(program), folder_(folder), bounds_(bounds), found_(found), engines_(engines) {
   for (int i = 0; i < plan.real; ++i) {
     int listener = listenAnywhere();
--- a/src/lab/scale_trial.h
+++ b/src/lab/scale_trial.h
@@ -10,7 +10,7 @@
 namespace elmcleat::lab {
 
 // By figure, variant and size: a value from each dispatcher, or each try.
-class Found {
+class FigureCollector {
  public:
   void add(const std::string& figure, const std::string& unit, const std::string& xName, double x, double y);
   std::vector<Figure> figures(const ScalePlan& plan) const;  // medians
@@ -28,7 +28,7 @@
 class Trial {
  public:
   Trial(const ScalePlan& plan, const std::string& program, const ScaleFolder& folder, ScaleBounds& bounds,
-        Found& found, int engines, const Json& gateway);
+        FigureCollector& found, int engines, const Json& gateway);
   Trial(const Trial&) = delete;
   Trial& operator=(const Trial&) = delete;
   ~Trial();
@@ -80,7 +80,7 @@
   const std::string& program_;
   const ScaleFolder& folder_;
   ScaleBounds& bounds_;
-  Found& found_;
+  FigureCollector& found_;
   int engines_;
   std::vector<uint16_t> ports_;
   std::vector<std::unique_ptr<Servers>> servers_;
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -6,16 +6,17 @@
 namespace elmcleat::lab {
 namespace {
 
-Trouble readTrouble(const Section& row) {
-  Trouble trouble;
-  trouble.kind = row.required<std::string>("kind");
-  trouble.at = row.required<double>("at"), trouble.lasts = row.get("lasts", 1e9);
-  trouble.team = row.get<std::string>("team", "");
-  trouble.times = row.get("times", 1.0), trouble.part = row.get("part", 1.0);
-  trouble.zone = row.get<std::string>("zone", ""), trouble.steps = row.get("steps", trouble.steps);
+Disturbance readTrouble(const Section& row) {
+  Disturbance disturbance;
+  disturbance.kind = row.required<std::string>("kind");
+  disturbance.at = row.required<double>("at"), disturbance.lasts = row.get("lasts", 1e9);
+  disturbance.team = row.get<std::string>("team", "");
+  disturbance.times = row.get("times", 1.0), disturbance.part = row.get("part", 1.0);
+  disturbance.zone = row.get<std::string>("zone", ""),
+  disturbance.steps = row.get("steps", disturbance.steps);
   if (row.has("budgets"))
-    trouble.plan = readBudgetSettings(row.subsection("budgets"));
-  return trouble;
+    disturbance.budgetSettings = readBudgetSettings(row.subsection("budgets"));
+  return disturbance;
 }
 
 }  // namespace
@@ -28,14 +29,16 @@
   const Section file(document);
   Scenario scene;
   scene.name = file.required<std::string>("name"), scene.about = file.get<std::string>("about", "");
-  scene.lasts = file.get("lasts", scene.lasts), scene.from = file.get("from", scene.from);
+  scene.duration = file.get("lasts", scene.duration),
+  scene.measuredFrom = file.get("from", scene.measuredFrom);
   scene.retries = file.get("retries", 0.0);
 
   const Section fleet = file.subsection("fleet");
   Fleet& f = scene.fleet;
   f.engines = fleet.get("engines", f.engines), f.gateways = fleet.get("gateways", f.gateways);
-  f.kind.cores = fleet.get("cores", f.kind.cores), f.kind.memoryMb = fleet.get("memoryMb", f.kind.memoryMb);
-  f.kind.speed = fleet.get("speed", f.kind.speed);
+  f.hardware.cores = fleet.get("cores", f.hardware.cores),
+  f.hardware.memoryMb = fleet.get("memoryMb", f.hardware.memoryMb);
+  f.hardware.speed = fleet.get("speed", f.hardware.speed);
   f.zones = fleet.get("zones", f.zones);
   f.delay = fleet.get("delay", f.delay), f.listLag = fleet.get("listLag", f.listLag);
   f.reports = fleet.get("reports", f.reports);
@@ -46,7 +49,7 @@
 
   Settings& set = scene.settings;
   set.gatewayCount = f.gateways, set.zone = f.zones.front();
-  set.engineKinds = {{f.kind.name, f.kind.cores, f.kind.memoryMb}};
+  set.engineKinds = {{f.hardware.name, f.hardware.cores, f.hardware.memoryMb}};
   set.coldCapacity = f.coldFrom, set.coldDuration = f.coldTime, set.coldOverloadFactor = f.fallMultiple,
   set.coldOverloadWindow = f.fallTime;
   set.maxSends = fleet.get("maxSends", 3);
@@ -84,7 +87,7 @@
   for (auto& tenant : set.tenants)
     tenant.share /= all;
   for (auto& row : file.items("troubles"))
-    scene.troubles.push_back(readTrouble(row));
+    scene.disturbances.push_back(readTrouble(row));
   if (file.has("budgets")) {
     scene.budgets = readBudgetSettings(file.subsection("budgets")), scene.budgetsText = document["budgets"];
     for (auto& fault : budget::validate(*scene.budgets))
@@ -102,9 +105,9 @@
     for (auto& error : view::validate(*scene.view))
       errors.push_back(path + ": view." + error.key + ": " + error.message);
   }
-  scene.against = file.get("against", scene.against);
+  scene.comparedVariants = file.get("against", scene.comparedVariants);
   for (auto& row : file.items("expect")) {
-    Expect expect{row.required<std::string>("figure"), {}, {}};
+    FigureBounds expect{row.required<std::string>("figure"), {}, {}};
     if (row.has("least"))
       expect.least = row.required<double>("least");
     if (row.has("most"))
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -13,7 +13,7 @@
 
 namespace elmcleat::lab {
 
-struct EngineKind {  // all figures are the scenario's
+struct EngineHardware {  // all figures are the scenario's
   std::string name = "std";
   double cores = 8, memoryMb = 0;  // 0: memory never runs short
   double speed = 1;                // of a core, against the yardstick
@@ -21,7 +21,7 @@
 
 struct Fleet {
   int engines = 8, gateways = 1;
-  EngineKind kind;
+  EngineHardware hardware;
   std::vector<std::string> zones{"east"};
   double delay = 0.0005;        // seconds, one way
   double listLag = 1;           // seconds until the list tells
@@ -45,42 +45,42 @@
   double gates = 1;         // part of the gateways that its commands come to
   std::vector<ProfileMix> mix;
 };
-struct Work {                       // of a profile's commands
+struct WorkDistribution {           // of a profile's commands
   double mean = 0.2, spread = 0.5;  // seconds on one core; sigma of the logarithm
   double memoryMb = 0;
 };
 
-struct Trouble {
+struct Disturbance {
   std::string kind;  // burst, quiet, slow, silent, failing, lose, roll, drain, reload
   double at = 0, lasts = 0;
-  std::string team;                            // of burst and quiet
-  double times = 1;                            // of burst: traffic; of slow: run times
-  double part = 1;                             // of the engines
-  std::optional<budget::BudgetSettings> plan;  // of reload
-  std::string zone = {};                       // whose engines alone are meant; empty: all
-  int steps = 1;                               // of a roll: in so many it replaces them
+  std::string team;                                      // of burst and quiet
+  double times = 1;                                      // of burst: traffic; of slow: run times
+  double part = 1;                                       // of the engines
+  std::optional<budget::BudgetSettings> budgetSettings;  // of reload
+  std::string zone = {};                                 // whose engines alone are meant; empty: all
+  int steps = 1;                                         // of a roll: in so many it replaces them
 };
 
-struct Expect {  // a figure by its name, with bounds
+struct FigureBounds {  // a figure by its name, with bounds
   std::string figure;
   std::optional<double> least, most;
 };
 
 struct Scenario {
   std::string name, about;
-  double lasts = 60, from = 5;  // seconds; figures count from `from` on
+  double duration = 60, measuredFrom = 5;  // seconds; figures count from `from` on
   Fleet fleet;
   Settings settings;
-  std::vector<Work> work;  // by profile
+  std::vector<WorkDistribution> work;  // by profile
   std::vector<Team> teams;
-  std::vector<Trouble> troubles;
+  std::vector<Disturbance> disturbances;
   std::optional<budget::BudgetSettings> budgets;
   std::optional<shared::LeaseSettings> shared;  // budgets by loans; members and amounts are the fleet's
   std::optional<view::SubsetSettings> view;     // gateways see only these engines
   Json budgetsText;                             // the same as it stands in the file, for the program
   double retries = 0;                           // times that a client asks again after a shed, after a second
-  std::vector<std::string> against;             // plain, apart, whole, calm, fifo, random
-  std::vector<Expect> expect;
+  std::vector<std::string> comparedVariants;    // plain, apart, whole, calm, fifo, random
+  std::vector<FigureBounds> expect;
 };
 
 // Throws ValidationErrors with all that is wrong.
--- a/src/lab/engine.cpp
+++ b/src/lab/simulated_engine.cpp
@@ -1,24 +1,24 @@
-#include "lab/engine.h"
+#include "lab/simulated_engine.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace elmcleat::lab {
 
-double Engine::threads() const {
+double SimulatedEngine::threads() const {
   double all = 0;
   for (auto& one : running_)
     all += one.threads;
   return all;
 }
 
-double Engine::cores(double now) const {
+double SimulatedEngine::cores(double now) const {
   double warm =
       startedAt && fleet_.coldTime > 0 ? std::clamp((now - *startedAt) / fleet_.coldTime, 0.0, 1.0) : 1;
-  return fleet_.kind.cores * (fleet_.coldFrom + (1 - fleet_.coldFrom) * warm);
+  return fleet_.hardware.cores * (fleet_.coldFrom + (1 - fleet_.coldFrom) * warm);
 }
 
-void Engine::pass(double now) {
+void SimulatedEngine::pass(double now) {
   for (auto& one : running_) {
     one.left -= one.rate * (now - last_);
     busy += one.rate * (now - last_);
@@ -27,19 +27,19 @@
 }
 
 // Cores go 1 : 4 : 8 : 16 by priority where they are short, none to more than its threads; past the knee less is done.
-void Engine::share(double now) {
+void SimulatedEngine::share(double now) {
   static constexpr double kWeights[] = {1, 4, 8, 16};
-  double all = threads(), able = cores(now) * fleet_.kind.speed / times_;
+  double all = threads(), able = cores(now) * fleet_.hardware.speed / times_;
   if (double over = all / std::max(cores(now), 1e-9) - fleet_.knee; over > 0)
     able /= 1 + fleet_.fall * over;
   double memory = 0;
   for (auto& one : running_)
     memory += one.memoryMb, one.rate = 0;
-  double spill = fleet_.kind.memoryMb > 0 && memory > fleet_.kind.memoryMb
-                     ? 1 + fleet_.spillCost * (1 - fleet_.kind.memoryMb / memory)
+  double spill = fleet_.hardware.memoryMb > 0 && memory > fleet_.hardware.memoryMb
+                     ? 1 + fleet_.spillCost * (1 - fleet_.hardware.memoryMb / memory)
                      : 1;
   double left = able;
-  std::vector<Running*> open;
+  std::vector<RunningSend*> open;
   for (auto& one : running_)
     open.push_back(&one);
   while (!open.empty() && left > 1e-12) {
@@ -49,7 +49,7 @@
     bool full = false;
     double given = 0;
     for (auto* one : open) {
-      double most = one->threads * fleet_.kind.speed / times_;
+      double most = one->threads * fleet_.hardware.speed / times_;
       double part = left * kWeights[std::clamp(one->priority, 0, 3)] * one->threads / weights;
       if (part >= most)
         one->rate = most, given += most, full = true;
@@ -66,11 +66,11 @@
     one.rate /= spill;
 }
 
-bool Engine::begin(double now, const Running& send, uint64_t tables) {
+bool SimulatedEngine::begin(double now, const RunningSend& send, uint64_t tables) {
   if (!up)
     return false;
   pass(now);
-  Running one = send;
+  RunningSend one = send;
   bool warm = std::ranges::find(warm_, tables) != warm_.end();
   warm_.remove(tables), warm_.push_front(tables);
   if (warm_.size() > size_t(fleet_.warmGroups))
@@ -85,19 +85,19 @@
       if (at > now - fleet_.fallTime)
         sum += work;
     if (sum > fleet_.fallMultiple * cores(now) * fleet_.fallTime)
-      fell = true;
+      overloadedWhileCold = true;
   }
   share(now);
   return true;
 }
 
-void Engine::drop(double now, uint64_t send) {
+void SimulatedEngine::drop(double now, uint64_t send) {
   pass(now);
   std::erase_if(running_, [&](auto& one) { return one.send == send; });
   share(now);
 }
 
-void Engine::rank(double now, uint64_t send, int priority) {
+void SimulatedEngine::setPriority(double now, uint64_t send, int priority) {
   pass(now);
   for (auto& one : running_)
     if (one.send == send)
@@ -105,15 +105,15 @@
   share(now);
 }
 
-std::vector<Running> Engine::finished(double now) {
+std::vector<RunningSend> SimulatedEngine::finished(double now) {
   pass(now);
-  std::vector<Running> over;
+  std::vector<RunningSend> over;
   std::erase_if(running_, [&](auto& one) { return one.left <= 1e-9 && (over.push_back(one), true); });
   share(now);
   return over;
 }
 
-std::optional<double> Engine::nextEnd() const {
+std::optional<double> SimulatedEngine::nextEnd() const {
   std::optional<double> at;
   for (auto& one : running_)
     if (one.rate > 0)
@@ -124,14 +124,14 @@
   return at;
 }
 
-void Engine::slow(double now, double times) { pass(now), times_ = times, share(now); }
+void SimulatedEngine::slow(double now, double times) { pass(now), times_ = times, share(now); }
 
-void Engine::start(double now, bool cold) {
-  last_ = now, up = true, fell = false, warm_.clear(), coldWork_.clear();
+void SimulatedEngine::start(double now, bool cold) {
+  last_ = now, up = true, overloadedWhileCold = false, warm_.clear(), coldWork_.clear();
   startedAt = cold ? std::optional(now) : std::nullopt;
 }
 
-std::vector<Running> Engine::stop(double now) {
+std::vector<RunningSend> SimulatedEngine::stop(double now) {
   pass(now);
   up = false;
   return std::exchange(running_, {});
--- a/src/lab/engine.h
+++ b/src/lab/simulated_engine.h
@@ -10,7 +10,7 @@
 
 namespace elmcleat::lab {
 
-struct Running {
+struct RunningSend {
   uint64_t send = 0;
   double left = 0, work = 0;  // seconds on one core
   double memoryMb = 0;
@@ -18,24 +18,24 @@
   double rate = 0;  // of its work, a second
 };
 
-class Engine {
+class SimulatedEngine {
  public:
-  explicit Engine(const Fleet& fleet) : fleet_(fleet) {}
+  explicit SimulatedEngine(const Fleet& fleet) : fleet_(fleet) {}
 
   // Whether it takes the send: false if its process is down.
-  bool begin(double now, const Running& send, uint64_t tables);
+  bool begin(double now, const RunningSend& send, uint64_t tables);
   void drop(double now, uint64_t send);
-  void rank(double now, uint64_t send, int priority);
+  void setPriority(double now, uint64_t send, int priority);
   // Sends that are done by now.
-  std::vector<Running> finished(double now);
+  std::vector<RunningSend> finished(double now);
   std::optional<double> nextEnd() const;  // of a send, if nothing changes
 
   void slow(double now, double times);
   void start(double now, bool cold);
-  std::vector<Running> stop(double now);  // its process ends: what ran there
+  std::vector<RunningSend> stop(double now);  // its process ends: what ran there
 
   bool up = true, silent = false, failing = false;
-  bool fell = false;  // pushed over while cold
+  bool overloadedWhileCold = false;  // pushed over while cold
   std::optional<double> startedAt;
   double busy = 0;  // core seconds done
   size_t running() const { return running_.size(); }
@@ -47,7 +47,7 @@
   void share(double now);
 
   const Fleet& fleet_;
-  std::vector<Running> running_;
+  std::vector<RunningSend> running_;
   std::list<uint64_t> warm_;
   double last_ = 0, times_ = 1;
   std::vector<std::pair<double, double>> coldWork_;  // when it came, and how much
--- a/src/lab/world.cpp
+++ b/src/lab/simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/world.h"
+#include "lab/simulation.h"
 
 #include <algorithm>
 #include <chrono>
@@ -9,8 +9,8 @@
 
 #include "budget/tree_scheduler.h"
 #include "lab/baseline.h"
-#include "lab/engine.h"
-#include "lab/events.h"
+#include "lab/event_queue.h"
+#include "lab/simulated_engine.h"
 #include "pcg32.h"
 #include "view/engine_subset.h"
 
@@ -22,9 +22,9 @@
   World(const Scenario& given, uint64_t seed, const Variant& variant)
       : scene_(given), variant_(variant), arrivals_(seed * 7919 + 1), seed_(seed) {}
 
-  Record run() {
+  RunRecord run() {
     auto began = std::chrono::steady_clock::now();
-    size_t seconds = size_t(std::ceil(scene_.lasts)) + 1;
+    size_t seconds = size_t(std::ceil(scene_.duration)) + 1;
     record_.seconds.resize(seconds);
     for (auto& second : record_.seconds)
       second.asked.resize(scene_.teams.size()), second.earned = second.work = second.asked;
@@ -36,13 +36,13 @@
     }
     for (size_t i = 0; i < scene_.teams.size(); ++i)
       nextArrival(i);
-    for (auto& trouble : scene_.troubles)
-      plan(trouble);
-    events_.at(0.5, [this] { sample(); });
-    while (now_ < scene_.lasts && events_.next(now_)) {
+    for (auto& disturbance : scene_.disturbances)
+      plan(disturbance);
+    events_.schedule(0.5, [this] { sample(); });
+    while (now_ < scene_.duration && events_.runNext(now_)) {
     }
     for (auto& engine : engines_)
-      record_.fell += engine->model.fell;
+      record_.fell += engine->model.overloadedWhileCold;
     record_.realSeconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
     return std::move(record_);
   }
@@ -50,7 +50,7 @@
  private:
   struct Machine {
     explicit Machine(const Fleet& fleet) : model(fleet) {}
-    Engine model;
+    SimulatedEngine model;
     uint64_t version = 0;  // of its next end
   };
 
@@ -70,10 +70,10 @@
       Settings settings = world.scene_.settings;
       if (world.scene_.view)
         settings.ordinal = int(number);  // with the view and without it
-      if (world.scene_.view && variant.view && variant.deciding == Deciding::module)
+      if (world.scene_.view && variant.view && variant.deciding == Decider::module)
         view = std::make_unique<view::EngineSubset>(*world.scene_.view, settings),
         settings = view->localSettings();
-      if (variant.deciding == Deciding::module) {
+      if (variant.deciding == Decider::module) {
         if (world.scene_.budgets && variant.budgets) {
           scheduler =
               std::make_unique<budget::TreeScheduler>(*world.scene_.budgets, world.scene_.fleet.gateways);
@@ -84,12 +84,12 @@
             if (known == numbers.end())
               return;
             world.record_.waits.push_back(
-                {world.record_.asked[known->second].at, told.median, told.p90, seen, known->second});
+                {world.record_.commands[known->second].at, told.median, told.p90, seen, known->second});
           });
         }
         policy = createPolicy(settings, seed, *this, scheduler.get());
       } else {
-        policy = std::make_unique<Baseline>(settings, seed, *this, variant.deciding == Deciding::random);
+        policy = std::make_unique<Baseline>(settings, seed, *this, variant.deciding == Decider::random);
       }
       EngineListEvent first{0, true, {}};
       for (uint32_t i = 0; i < world.engines_.size(); ++i)
@@ -118,7 +118,7 @@
       double at = std::max(view->nextWakeUp(), world.now_);
       if (at == HUGE_VAL || (watchAt >= 0 && watchAt <= at))
         return;
-      world.events_.at(watchAt = at, [this, at] {
+      world.events_.schedule(watchAt = at, [this, at] {
         if (watchAt == at)
           watchAt = -1, show(view->tick(world.now_), false), watch();
       });
@@ -145,12 +145,12 @@
         leases->setDemand(i, wants[i]);
       leases->tick(world.now_);
       post();
-      world.events_.at(std::max(leases->nextWakeUp(), world.now_ + 0.001), [this] { look(); });
+      world.events_.schedule(std::max(leases->nextWakeUp(), world.now_ + 0.001), [this] { look(); });
     }
     void post() {
       scheduler->setQuotas(usable());  // before a letter that rests on it is on its way
       for (auto& message : leases->takeOutgoing())
-        world.events_.at(world.now_ + world.scene_.fleet.delay, [this, message] {
+        world.events_.schedule(world.now_ + world.scene_.fleet.delay, [this, message] {
           Gate& to = *world.gates_[size_t(message.to)];
           to.leases->receive(world.now_, message);
           to.scheduler->advanceTo(world.now_);
@@ -171,7 +171,7 @@
     }
 
     void take(uint64_t id, const Arrival& arrival) {
-      world.mark(Mark::taken, *this, id);
+      world.mark(RunEventKind::taken, *this, id);
       policy->advanceTo(world.now_);
       auto command = policy->submit(arrival);
       commands[id] = command, numbers[command.get()] = id;
@@ -179,24 +179,24 @@
     }
     void send(Command& command, uint32_t node, double timeout, double) override {
       uint64_t id = numbers.at(&command);
-      world.mark(Mark::sent, *this, id, node);
+      world.mark(RunEventKind::sent, *this, id, node);
       uint64_t number_ = ++world.sends_;
       out[number_] = {commands.at(id), id, node, world.now_};
       byCommand[&command] = number_;
       auto ranked = ranks.find(&command);
       int priority = ranked == ranks.end() ? 1 : ranked->second;
       world.go(*this, number_, priority);
-      double end = world.record_.asked[id].timeoutAt;
+      double end = world.record_.commands[id].timeoutAt;
       double until = timeout > 0 ? std::min(world.now_ + timeout, end) : end;
-      world.events_.at(until, [this, number_] { expire(number_); });
+      world.events_.schedule(until, [this, number_] { expire(number_); });
     }
     void expire(uint64_t number_) {
       auto sent = out.find(number_);
       if (sent == out.end())
         return;
       uint32_t node = sent->second.node;
-      world.events_.at(world.now_ + world.scene_.fleet.delay,
-                       [this, node, number_] { world.drop(node, number_); });
+      world.events_.schedule(world.now_ + world.scene_.fleet.delay,
+                             [this, node, number_] { world.drop(node, number_); });
       over(number_, Outcome::timedOut);
     }
     void over(uint64_t number_, Outcome what, const ResourceUsage* usage = nullptr,
@@ -206,10 +206,10 @@
         return;
       Sent sent = std::move(found.mapped());
       byCommand.erase(sent.command.get());
-      world.mark(Mark::over, *this, sent.number, sent.node);
+      world.mark(RunEventKind::over, *this, sent.number, sent.node);
       bool answered = what == Outcome::answered && !ended.contains(sent.number);
       if (answered)
-        final(sent.number, Mark::answered);
+        final(sent.number, RunEventKind::answered);
       tell([&] {
         sent.command->sendFinished(what, world.now_ - sent.at, ended.contains(sent.number), usage, report);
       });
@@ -226,36 +226,36 @@
         return;
       uint64_t number_ = sent->second;
       uint32_t node = out.at(number_).node;
-      world.events_.at(world.now_ + world.scene_.fleet.delay,
-                       [this, node, number_] { world.drop(node, number_); });
-      world.events_.at(world.now_ + 2 * world.scene_.fleet.delay,
-                       [this, number_] { over(number_, Outcome::cancelled); });
+      world.events_.schedule(world.now_ + world.scene_.fleet.delay,
+                             [this, node, number_] { world.drop(node, number_); });
+      world.events_.schedule(world.now_ + 2 * world.scene_.fleet.delay,
+                             [this, number_] { over(number_, Outcome::cancelled); });
     }
     void shed(Command& command, double) override {
       uint64_t id = numbers.at(&command);
-      final(id, Mark::shed);
+      final(id, RunEventKind::shed);
       world.retry(id);
     }
-    void fail(Command& command) override { final(numbers.at(&command), Mark::failed); }
+    void fail(Command& command) override { final(numbers.at(&command), RunEventKind::failed); }
     void probe(uint32_t) override {}
     void requestEngineList() override {}
     void scheduleWakeUp(double at) override {
       double real = std::max(world.now_, at);
       wakeAt = real;
-      world.events_.at(real, [this, real] {
+      world.events_.schedule(real, [this, real] {
         if (wakeAt == real)
           wakeAt = -1, tell([] {});
       });
     }
     void log(const std::string&) override {}
 
-    void final(uint64_t id, Mark how) {
+    void final(uint64_t id, RunEventKind how) {
       ended.insert({id, true});
       world.mark(how, *this, id);
-      if (how == Mark::answered)
+      if (how == RunEventKind::answered)
         world.earn(id);
       // Forgotten in a turn of its own: the module may be in the midst of it.
-      world.events_.at(world.now_, [this, id] { forget(id); });
+      world.events_.schedule(world.now_, [this, id] { forget(id); });
     }
     void forget(uint64_t id) {
       auto command = commands.find(id);
@@ -280,14 +280,14 @@
   };
 
   // --- the record
-  void mark(Mark what, const Gate& gate, uint64_t command, uint32_t node = 0) {
-    record_.rows.push_back({now_, what, gate.number, node, command});
+  void mark(RunEventKind what, const Gate& gate, uint64_t command, uint32_t node = 0) {
+    record_.events.push_back({now_, what, gate.number, node, command});
   }
-  Second& second() { return record_.seconds[std::min(size_t(now_), record_.seconds.size() - 1)]; }
+  SecondRecord& second() { return record_.seconds[std::min(size_t(now_), record_.seconds.size() - 1)]; }
   void earn(uint64_t id) {
-    const Asked& asked = record_.asked[id];
+    const CommandRecord& asked = record_.commands[id];
     const Profile& profile = scene_.settings.profiles[asked.profile];
-    double worth = now_ <= record_.asked[asked.first].targetAt ? 1 : profile.lateBenefitShare;
+    double worth = now_ <= record_.commands[asked.first].targetAt ? 1 : profile.lateBenefitShare;
     second().earned[asked.team] += worth * profile.benefit, second().work[asked.team] += asked.work;
   }
   void sample() {
@@ -298,28 +298,29 @@
       else
         held += double(gate->commands.size() - std::min(gate->commands.size(), gate->out.size()));
     for (auto& engine : engines_) {
-      Engine& model = engine->model;
-      double uses = std::min(model.threads(), scene_.fleet.kind.cores);
-      busy += uses, cores += scene_.fleet.kind.cores;
-      if (now_ >= scene_.from && model.up)
-        record_.load.push_back(model.threads() / scene_.fleet.kind.cores);
+      SimulatedEngine& model = engine->model;
+      double uses = std::min(model.threads(), scene_.fleet.hardware.cores);
+      busy += uses, cores += scene_.fleet.hardware.cores;
+      if (now_ >= scene_.measuredFrom && model.up)
+        record_.load.push_back(model.threads() / scene_.fleet.hardware.cores);
       if (!model.up || !model.startedAt || now_ > *model.startedAt + scene_.fleet.coldTime)
         continue;
       record_.coldAble += model.cores(now_), record_.coldBusy += std::min(uses, model.cores(now_));
     }
     second().held = held, second().busy = busy / cores;
-    events_.at(now_ + 1, [this] { sample(); });
+    events_.schedule(now_ + 1, [this] { sample(); });
   }
 
   // --- clients
   double rateOf(size_t team) const {
     double rate = scene_.teams[team].rate;
-    for (auto& trouble : scene_.troubles) {
-      if (trouble.team != scene_.teams[team].name || now_ < trouble.at || now_ >= trouble.at + trouble.lasts)
+    for (auto& disturbance : scene_.disturbances) {
+      if (disturbance.team != scene_.teams[team].name || now_ < disturbance.at ||
+          now_ >= disturbance.at + disturbance.lasts)
         continue;
-      if (trouble.kind == "burst" && variant_.bursts)
-        rate *= trouble.times;
-      if (trouble.kind == "quiet")
+      if (disturbance.kind == "burst" && variant_.bursts)
+        rate *= disturbance.times;
+      if (disturbance.kind == "quiet")
         rate = 0;
     }
     return rate;
@@ -327,15 +328,15 @@
   // Arrivals are drawn at the highest rate and thinned: the draws are the same in all variants.
   void nextArrival(size_t team) {
     double most = scene_.teams[team].rate;
-    for (auto& trouble : scene_.troubles)
-      if (trouble.kind == "burst" && trouble.team == scene_.teams[team].name)
-        most *= std::max(1.0, trouble.times);
+    for (auto& disturbance : scene_.disturbances)
+      if (disturbance.kind == "burst" && disturbance.team == scene_.teams[team].name)
+        most *= std::max(1.0, disturbance.times);
     if (most <= 0)
       return;
     auto& chance = chances_[team];
     if (!chance)
       chance = std::make_unique<Pcg32>(arrivals_.next() + team);
-    events_.at(now_ - std::log(1 - chance->uniform()) / most, [this, team, most] {
+    events_.schedule(now_ - std::log(1 - chance->uniform()) / most, [this, team, most] {
       Pcg32& draw = *chances_[team];
       double keep = draw.uniform(), pick = draw.uniform(), size = draw.uniform(), angle = draw.uniform(),
              user = draw.uniform();
@@ -359,7 +360,7 @@
       if ((pick -= mix.part / all) < 0)
         break;
     }
-    const Work& work = scene_.work[profile];
+    const WorkDistribution& work = scene_.work[profile];
     double normal = std::sqrt(-2 * std::log(1 - size)) * std::cos(2 * std::numbers::pi * angle);
     double cost = work.mean * std::exp(work.spread * normal - work.spread * work.spread / 2);
     Arrival arrival;
@@ -369,16 +370,16 @@
     if (who.users > 0)
       arrival.users = {"u" + std::to_string(int(user * who.users))};
     auto gates = uint32_t(std::ceil(who.gates * double(gates_.size()) - 1e-9));
-    ask(arrival, team, profile, cost, gate % gates, record_.asked.size(), 0);
+    ask(arrival, team, profile, cost, gate % gates, record_.commands.size(), 0);
   }
   void ask(Arrival arrival, size_t team, size_t profile, double cost, uint32_t gate, uint64_t first,
            int tries) {
     const Profile& row = scene_.settings.profiles[profile];
-    uint64_t id = record_.asked.size();
+    uint64_t id = record_.commands.size();
     arrival.remainingTime = row.clientTimeout;
     double target = row.latencyTarget + row.latencyTargetStretch * cost / row.threads;
-    record_.asked.push_back({first, uint32_t(team), uint32_t(profile), now_, cost, now_ + target,
-                             now_ + row.clientTimeout, gate, uint32_t(arrival.tableGroup)});
+    record_.commands.push_back({first, uint32_t(team), uint32_t(profile), now_, cost, now_ + target,
+                                now_ + row.clientTimeout, gate, uint32_t(arrival.tableGroup)});
     if (first == id)
       second().asked[team] += row.benefit;
     if (tries < scene_.retries)
@@ -389,8 +390,8 @@
     auto found = retries_.extract(id);
     if (found.empty())
       return;
-    events_.at(now_ + 1, [this, id, again = found.mapped()] {
-      const Asked asked = record_.asked[id];
+    events_.schedule(now_ + 1, [this, id, again = found.mapped()] {
+      const CommandRecord asked = record_.commands[id];
       ask(again.arrival, asked.team, asked.profile, asked.work, again.gate, asked.first, again.tries + 1);
     });
   }
@@ -401,32 +402,32 @@
   }
   ListedEngine listingOf(uint32_t node, EngineState state) const {
     ListedEngine listing;
-    listing.record = {node, zoneOf(node), scene_.fleet.kind.name, 0, state, {}};
+    listing.record = {node, zoneOf(node), scene_.fleet.hardware.name, 0, state, {}};
     if (auto start = engines_[node]->model.startedAt)
       listing.startedAtUnixMs = std::llround(*start * 1000);
     return listing;
   }
   void go(Gate& gate, uint64_t number, int priority) {
-    events_.at(now_ + scene_.fleet.delay, [this, &gate, number, priority] {
+    events_.schedule(now_ + scene_.fleet.delay, [this, &gate, number, priority] {
       auto sent = gate.out.find(number);
       if (sent == gate.out.end())
         return;
       uint32_t node = sent->second.node;
-      const Asked& asked = record_.asked[sent->second.number];
+      const CommandRecord& asked = record_.commands[sent->second.number];
       const Profile& profile = scene_.settings.profiles[asked.profile];
       Machine& machine = *engines_[node];
       auto answer = [&](Outcome what) {
-        events_.at(now_ + scene_.fleet.delay, [&gate, number, what] { gate.over(number, what); });
+        events_.schedule(now_ + scene_.fleet.delay, [&gate, number, what] { gate.over(number, what); });
       };
       if (!machine.model.up)
         return answer(Outcome::connectFailed);
       if (machine.model.failing)
-        return mark(Mark::ran, gate, sent->second.number, node), answer(Outcome::error);
-      Running one{number,          asked.work, asked.work, scene_.work[asked.profile].memoryMb,
-                  profile.threads, priority,   0};
+        return mark(RunEventKind::ran, gate, sent->second.number, node), answer(Outcome::error);
+      RunningSend one{number,          asked.work, asked.work, scene_.work[asked.profile].memoryMb,
+                      profile.threads, priority,   0};
       machine.model.begin(now_, one, asked.first % 64);
       places_[number] = &gate;
-      mark(Mark::ran, gate, sent->second.number, node);
+      mark(RunEventKind::ran, gate, sent->second.number, node);
       wakeMachine(node);
     });
   }
@@ -436,7 +437,7 @@
     auto at = machine.model.nextEnd();
     if (!at)
       return;
-    events_.at(std::max(now_, *at), [this, node, version] {
+    events_.schedule(std::max(now_, *at), [this, node, version] {
       if (engines_[node]->version != version)
         return;
       for (auto& one : engines_[node]->model.finished(now_)) {
@@ -444,10 +445,10 @@
         if (place.empty() || engines_[node]->model.silent)
           continue;
         Gate* gate = place.mapped();
-        const Engine& model = engines_[node]->model;
-        double used = std::min(1.0, model.threads() / scene_.fleet.kind.cores);
+        const SimulatedEngine& model = engines_[node]->model;
+        double used = std::min(1.0, model.threads() / scene_.fleet.hardware.cores);
         LoadReport report{double(model.running()), {}, used, {}, {}};
-        events_.at(now_ + scene_.fleet.delay, [this, gate, one, report] {
+        events_.schedule(now_ + scene_.fleet.delay, [this, gate, one, report] {
           ResourceUsage usage{one.work, one.memoryMb};
           gate->over(one.send, Outcome::answered, &usage, scene_.fleet.reports ? &report : nullptr);
         });
@@ -460,43 +461,43 @@
     engines_[node]->model.drop(now_, send), wakeMachine(node);
   }
   void rank(uint32_t node, uint64_t send, int priority) {
-    events_.at(now_ + scene_.fleet.delay, [this, node, send, priority] {
-      engines_[node]->model.rank(now_, send, priority), wakeMachine(node);
+    events_.schedule(now_ + scene_.fleet.delay, [this, node, send, priority] {
+      engines_[node]->model.setPriority(now_, send, priority), wakeMachine(node);
     });
   }
   void list(const std::vector<uint32_t>& nodes, EngineState state, double lag) {
-    events_.at(now_ + lag, [this, nodes, state] {
+    events_.schedule(now_ + lag, [this, nodes, state] {
       EngineListEvent event;
       for (uint32_t node : nodes)
         event.engines.push_back(listingOf(node, state));
       for (auto& gate : gates_) {
         for (uint32_t node : nodes)
-          mark(state == EngineState::inService ? Mark::told : Mark::drained, *gate, 0, node);
+          mark(state == EngineState::inService ? RunEventKind::told : RunEventKind::drained, *gate, 0, node);
         gate->hear(event);
       }
     });
   }
 
   // --- troubles
-  void plan(const Trouble& trouble) {
-    events_.at(trouble.at, [this, &trouble] { begin(trouble); });
-    if (trouble.at + trouble.lasts < scene_.lasts)
-      events_.at(trouble.at + trouble.lasts, [this, &trouble] { end(trouble); });
+  void plan(const Disturbance& disturbance) {
+    events_.schedule(disturbance.at, [this, &disturbance] { begin(disturbance); });
+    if (disturbance.at + disturbance.lasts < scene_.duration)
+      events_.schedule(disturbance.at + disturbance.lasts, [this, &disturbance] { end(disturbance); });
   }
-  std::vector<uint32_t> nodesOf(const Trouble& trouble) const {
+  std::vector<uint32_t> nodesOf(const Disturbance& disturbance) const {
     std::vector<uint32_t> nodes;
     for (uint32_t node = 0; node < engines_.size(); ++node)
-      if (trouble.zone.empty() || trouble.zone == zoneOf(node))
+      if (disturbance.zone.empty() || disturbance.zone == zoneOf(node))
         nodes.push_back(node);
-    nodes.resize(size_t(std::ceil(trouble.part * double(nodes.size()) - 1e-9)));
+    nodes.resize(size_t(std::ceil(disturbance.part * double(nodes.size()) - 1e-9)));
     return nodes;
   }
   void stop(const std::vector<uint32_t>& nodes) {  // their processes end
     for (uint32_t node : nodes) {
       for (auto& one : engines_[node]->model.stop(now_))
         if (auto place = places_.extract(one.send); !place.empty())
-          events_.at(now_ + scene_.fleet.delay,
-                     [gate = place.mapped(), send = one.send] { gate->over(send, Outcome::reset); });
+          events_.schedule(now_ + scene_.fleet.delay,
+                           [gate = place.mapped(), send = one.send] { gate->over(send, Outcome::reset); });
       wakeMachine(node);
     }
     list(nodes, EngineState::removed, scene_.fleet.listLag);
@@ -507,54 +508,54 @@
     list(nodes, EngineState::inService, scene_.fleet.listLag);
   }
   // A part of them after the other is drained, ends and comes back cold.
-  void roll(const Trouble& trouble) {
+  void roll(const Disturbance& disturbance) {
     constexpr double kGrace = 3, kDown = 1;  // seconds to finish what it has; until it starts again
-    auto nodes = nodesOf(trouble);
-    for (int step = 0; step < trouble.steps; ++step) {
-      auto at = [&](int i) { return nodes.begin() + long(nodes.size()) * i / trouble.steps; };
+    auto nodes = nodesOf(disturbance);
+    for (int step = 0; step < disturbance.steps; ++step) {
+      auto at = [&](int i) { return nodes.begin() + long(nodes.size()) * i / disturbance.steps; };
       std::vector<uint32_t> its(at(step), at(step + 1));
-      double from = now_ + trouble.lasts * step / trouble.steps;
-      events_.at(from, [this, its] { list(its, EngineState::draining, 0); });
-      events_.at(from + kGrace, [this, its] { stop(its); });
-      events_.at(from + kGrace + scene_.fleet.listLag + kDown, [this, its] { start(its); });
+      double from = now_ + disturbance.lasts * step / disturbance.steps;
+      events_.schedule(from, [this, its] { list(its, EngineState::draining, 0); });
+      events_.schedule(from + kGrace, [this, its] { stop(its); });
+      events_.schedule(from + kGrace + scene_.fleet.listLag + kDown, [this, its] { start(its); });
     }
   }
-  void begin(const Trouble& trouble) {
-    if (trouble.kind == "roll")
-      return roll(trouble);
-    auto nodes = nodesOf(trouble);
-    if (trouble.kind == "drain")
+  void begin(const Disturbance& disturbance) {
+    if (disturbance.kind == "roll")
+      return roll(disturbance);
+    auto nodes = nodesOf(disturbance);
+    if (disturbance.kind == "drain")
       list(nodes, EngineState::draining, 0);
-    if (trouble.kind == "lose")
+    if (disturbance.kind == "lose")
       stop(nodes);
     for (uint32_t node : nodes) {
-      Engine& engine = engines_[node]->model;
-      if (trouble.kind == "slow")
-        engine.slow(now_, trouble.times);
-      if (trouble.kind == "silent")
+      SimulatedEngine& engine = engines_[node]->model;
+      if (disturbance.kind == "slow")
+        engine.slow(now_, disturbance.times);
+      if (disturbance.kind == "silent")
         engine.silent = true;
-      if (trouble.kind == "failing")
+      if (disturbance.kind == "failing")
         engine.failing = true;
       wakeMachine(node);
     }
     for (auto& gate : gates_) {
-      if (trouble.kind == "reload" && gate->scheduler && trouble.plan)
-        gate->tell([&] { gate->scheduler->reconfigure(*trouble.plan); });
+      if (disturbance.kind == "reload" && gate->scheduler && disturbance.budgetSettings)
+        gate->tell([&] { gate->scheduler->reconfigure(*disturbance.budgetSettings); });
     }
   }
-  void end(const Trouble& trouble) {
-    auto nodes = nodesOf(trouble);
-    if (trouble.kind == "lose")
+  void end(const Disturbance& disturbance) {
+    auto nodes = nodesOf(disturbance);
+    if (disturbance.kind == "lose")
       start(nodes);
-    if (trouble.kind == "drain")
+    if (disturbance.kind == "drain")
       list(nodes, EngineState::inService, 0);
     for (uint32_t node : nodes) {
-      Engine& engine = engines_[node]->model;
-      if (trouble.kind == "slow")
+      SimulatedEngine& engine = engines_[node]->model;
+      if (disturbance.kind == "slow")
         engine.slow(now_, 1);
-      if (trouble.kind == "silent")
+      if (disturbance.kind == "silent")
         engine.silent = false;
-      if (trouble.kind == "failing")
+      if (disturbance.kind == "failing")
         engine.failing = false;
       wakeMachine(node);
     }
@@ -570,8 +571,8 @@
   Pcg32 arrivals_;
   uint64_t seed_, sends_ = 0;
   double now_ = 0;
-  Events events_;
-  Record record_;
+  EventQueue events_;
+  RunRecord record_;
   std::unordered_map<size_t, std::unique_ptr<Pcg32>> chances_;
   std::vector<std::unique_ptr<Machine>> engines_;
   std::vector<std::unique_ptr<Gate>> gates_;
@@ -583,21 +584,21 @@
 
 Variant variantNamed(const std::string& name) {
   if (name == "plain")
-    return {name, Deciding::module, false, true};
+    return {name, Decider::module, false, true};
   if (name == "apart")
-    return {name, Deciding::module, true, true, false};
+    return {name, Decider::module, true, true, false};
   if (name == "whole")
-    return {name, Deciding::module, true, true, true, false};
+    return {name, Decider::module, true, true, true, false};
   if (name == "calm")
-    return {name, Deciding::module, true, false};
+    return {name, Decider::module, true, false};
   if (name == "random")
-    return {name, Deciding::random, false, true};
+    return {name, Decider::random, false, true};
   if (name == "fifo")
-    return {name, Deciding::fifo, false, true};
-  return {name, Deciding::module, true, true};
+    return {name, Decider::fifo, false, true};
+  return {name, Decider::module, true, true};
 }
 
-Record play(const Scenario& scene, uint64_t seed, const Variant& variant) {
+RunRecord simulate(const Scenario& scene, uint64_t seed, const Variant& variant) {
   return World(scene, seed, variant).run();
 }
 
--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -17,8 +17,8 @@
 #include <sstream>
 #include <unordered_map>
 
-#include "lab/engine.h"
-#include "lab/http_answer.h"
+#include "lab/http_response.h"
+#include "lab/simulated_engine.h"
 #include "runtime/scheduler.h"
 #include "runtime/stream.h"
 
@@ -94,7 +94,7 @@
 
 class Day {
  public:
-  Day(const Scenario& scene, const Record& virtualRun, const Variant& variant, std::string program)
+  Day(const Scenario& scene, const RunRecord& virtualRun, const Variant& variant, std::string program)
       : scene_(scene),
         source_(virtualRun),
         variant_(variant),
@@ -106,13 +106,14 @@
     std::filesystem::remove_all(folder_);
   }
 
-  Record run() {
-    for (auto& trouble : scene_.troubles)
-      if (trouble.kind != "burst" && trouble.kind != "quiet" && trouble.kind != "slow")
-        throw ValidationErrors({scene_.name + ": on sockets there is no trouble '" + trouble.kind + "' yet"});
+  RunRecord run() {
+    for (auto& disturbance : scene_.disturbances)
+      if (disturbance.kind != "burst" && disturbance.kind != "quiet" && disturbance.kind != "slow")
+        throw ValidationErrors(
+            {scene_.name + ": on sockets there is no trouble '" + disturbance.kind + "' yet"});
     char name[] = "/tmp/elmcleat-lab-XXXXXX";
     folder_ = mkdtemp(name);
-    record_.seconds.resize(size_t(scene_.lasts) + 2);
+    record_.seconds.resize(size_t(scene_.duration) + 2);
     for (auto& second : record_.seconds)
       second.asked.resize(scene_.teams.size()), second.earned = second.work = second.asked;
     changeLog_ = std::make_unique<Listening>(scheduler_, addressOf(2, 1), [this](int fd) { follow(fd); });
@@ -126,11 +127,11 @@
       start(i);
     waitUntilUp();
     began_ = scheduler_.now() + 0.2;
-    for (auto& asked : source_.asked)
-      if (asked.first == size_t(&asked - source_.asked.data()))
+    for (auto& asked : source_.commands)
+      if (asked.first == size_t(&asked - source_.commands.data()))
         order_.push_back(asked.first);
-    record_.asked.resize(source_.asked.size(),
-                         Asked{~uint64_t{0}, 0, 0, 0, 0, 0, HUGE_VAL, 0, 0});  // not asked yet
+    record_.commands.resize(source_.commands.size(),
+                            CommandRecord{~uint64_t{0}, 0, 0, 0, 0, 0, HUGE_VAL, 0, 0});  // not asked yet
     next_ = std::make_unique<Timer>(scheduler_, [this] { ask(); });
     next_->set(began_);
     std::vector<std::unique_ptr<Timer>> timers;
@@ -138,21 +139,21 @@
       timers.push_back(std::make_unique<Timer>(scheduler_, std::move(act)));
       timers.back()->set(began_ + at);
     };
-    for (auto& trouble : scene_.troubles)
-      if (trouble.kind == "slow") {
-        later(trouble.at, [&] { slow(trouble, trouble.times); });
-        later(trouble.at + trouble.lasts, [&] { slow(trouble, 1); });
+    for (auto& disturbance : scene_.disturbances)
+      if (disturbance.kind == "slow") {
+        later(disturbance.at, [&] { slow(disturbance, disturbance.times); });
+        later(disturbance.at + disturbance.lasts, [&] { slow(disturbance, 1); });
       }
-    later(scene_.lasts, [this] { scheduler_.stop(); });
+    later(scene_.duration, [this] { scheduler_.stop(); });
     scheduler_.run();
-    record_.realSeconds = scene_.lasts;
+    record_.realSeconds = scene_.duration;
     return std::move(record_);
   }
 
  private:
   struct Machine {
     explicit Machine(const Fleet& fleet) : model(fleet) {}
-    Engine model;
+    SimulatedEngine model;
     std::unique_ptr<Listening> listening;
     std::unique_ptr<Timer> timer;
     std::unordered_map<uint64_t, std::pair<Peer*, uint32_t>>
@@ -167,8 +168,8 @@
   };
 
   double now() const { return scheduler_.now() - began_; }
-  void mark(Mark what, uint32_t gate, uint64_t command, uint32_t node = 0) {
-    record_.rows.push_back({now(), what, gate, node, command});
+  void mark(RunEventKind what, uint32_t gate, uint64_t command, uint32_t node = 0) {
+    record_.events.push_back({now(), what, gate, node, command});
   }
 
   // --- dispatchers
@@ -220,7 +221,7 @@
             {"cancel", scene_.settings.cancelSupported}}},
           {"specifics",
            {{"dop", threads},
-            {"kindCores", {scene_.fleet.kind.cores}},
+            {"kindCores", {scene_.fleet.hardware.cores}},
             {"ranksHeeded", scene_.settings.prioritiesSupported}}}}}};
     std::ofstream(base + ".json") << config.dump();
     bool budgets = !scene_.budgetsText.is_null() && variant_.budgets;
@@ -318,21 +319,21 @@
       if (verb == "DROP")
         drop(node, command);
       else if (verb == "RANK" && words >> priority)
-        machines_[node]->model.rank(scheduler_.now(), command, priority), aim(node);
+        machines_[node]->model.setPriority(scheduler_.now(), command, priority), aim(node);
       else if (verb == "PING" || verb == "LOAD")
         from.say(id + " PONG - 0\r\n\r\n");
     }
   }
   void begin(uint32_t node, Peer& from, const std::string& id, const std::string& fields) {
     uint64_t command = std::strtoull(id.c_str(), nullptr, 16);
-    if (command >= record_.asked.size())
+    if (command >= record_.commands.size())
       return;
-    const Asked& asked = record_.asked[command];
+    const CommandRecord& asked = record_.commands[command];
     int priority = 1;
     if (auto at = fields.find("weight="); at != std::string::npos)
       priority = fields[at + 7] - '0';
     uint32_t gate = asked.gate;
-    mark(Mark::sent, gate, command, node), mark(Mark::ran, gate, command, node);
+    mark(RunEventKind::sent, gate, command, node), mark(RunEventKind::ran, gate, command, node);
     machines_[node]->open[command] = {&from, gate};
     machines_[node]->model.begin(scheduler_.now(),
                                  {command, asked.work, asked.work, scene_.work[asked.profile].memoryMb,
@@ -351,7 +352,7 @@
       auto who = machines_[node]->open.extract(one.send);
       if (who.empty())
         continue;
-      mark(Mark::over, who.mapped().second, one.send, node);
+      mark(RunEventKind::over, who.mapped().second, one.send, node);
       char head[96];
       int size = std::snprintf(head, sizeof head, "%016llx HIT fetches=1,effort=%.3f 6\r\n",
                                static_cast<unsigned long long>(one.send), one.work * 1e3);
@@ -363,29 +364,29 @@
     auto who = machines_[node]->open.extract(command);
     if (who.empty())
       return;
-    mark(Mark::over, who.mapped().second, command, node);
+    mark(RunEventKind::over, who.mapped().second, command, node);
     machines_[node]->model.drop(scheduler_.now(), command);
     aim(node);
   }
-  void slow(const Trouble& trouble, double times) {
-    for (uint32_t node = 0; node < uint32_t(std::ceil(double(machines_.size()) * trouble.part)); ++node)
+  void slow(const Disturbance& disturbance, double times) {
+    for (uint32_t node = 0; node < uint32_t(std::ceil(double(machines_.size()) * disturbance.part)); ++node)
       machines_[node]->model.slow(scheduler_.now(), times), aim(node);
   }
 
   // --- clients
   void ask() {
-    for (; at_ < order_.size() && source_.asked[order_[at_]].at <= now(); ++at_)
+    for (; at_ < order_.size() && source_.commands[order_[at_]].at <= now(); ++at_)
       ask(order_[at_]);
     if (at_ < order_.size())
-      next_->set(began_ + source_.asked[order_[at_]].at);
+      next_->set(began_ + source_.commands[order_[at_]].at);
   }
   void ask(uint64_t command) {
-    Asked& asked = record_.asked[command] = source_.asked[command];
+    CommandRecord& asked = record_.commands[command] = source_.commands[command];
     const Profile& profile = scene_.settings.profiles[asked.profile];
     double shift = now() - asked.at;
     asked.at += shift, asked.targetAt += shift, asked.timeoutAt += shift;
     record_.seconds[size_t(now())].asked[asked.team] += profile.benefit;
-    mark(Mark::taken, asked.gate, command);
+    mark(RunEventKind::taken, asked.gate, command);
     Client& client = idleClient(asked.gate);
     client.command = command;
     std::string body = "SELECT a FROM t_" + std::to_string(asked.tables) + ".x";
@@ -415,33 +416,33 @@
     return client;
   }
   void answer(Client& client, std::string& bytes) {
-    auto status = takeAnswer(bytes);
+    auto status = takeResponseStatus(bytes);
     if (!status)
       return;
     if (!client.command)
       return;
     uint64_t command = *client.command;
     client.command.reset();
-    const Asked& asked = record_.asked[command];
-    Mark how = *status == "200"                       ? Mark::answered
-               : *status == "503" || *status == "429" ? Mark::shed
-                                                      : Mark::failed;
+    const CommandRecord& asked = record_.commands[command];
+    RunEventKind how = *status == "200"                       ? RunEventKind::answered
+                       : *status == "503" || *status == "429" ? RunEventKind::shed
+                                                              : RunEventKind::failed;
     mark(how, client.gate, command);
     const Profile& profile = scene_.settings.profiles[asked.profile];
     auto& second = record_.seconds[std::min(size_t(now()), record_.seconds.size() - 1)];
-    if (how == Mark::answered)
+    if (how == RunEventKind::answered)
       second.earned[asked.team] += (now() <= asked.targetAt ? 1 : profile.lateBenefitShare) * profile.benefit;
     idle_[client.gate].push_back(&client);
   }
 
   const Scenario& scene_;
-  const Record& source_;
+  const RunRecord& source_;
   Variant variant_;
   std::string program_, folder_;
   Clock clock_;
   Scheduler scheduler_;
   double began_ = 0;
-  Record record_;
+  RunRecord record_;
   std::vector<pid_t> processes_;
   std::vector<uint64_t> order_;
   size_t at_ = 0;
@@ -455,8 +456,8 @@
 
 }  // namespace
 
-Record playOnSockets(const Scenario& scene, const Record& virtualRun, const Variant& variant,
-                     const std::string& program) {
+RunRecord runOnSockets(const Scenario& scene, const RunRecord& virtualRun, const Variant& variant,
+                       const std::string& program) {
   return Day(scene, virtualRun, variant, program).run();
 }
 
--- a/src/tools/lab.cpp
+++ b/src/tools/lab.cpp
@@ -10,8 +10,8 @@
 #include "lab/members_scale.h"
 #include "lab/report.h"
 #include "lab/scale.h"
+#include "lab/simulation.h"
 #include "lab/sockets.h"
-#include "lab/world.h"
 
 using namespace elmcleat;
 using namespace elmcleat::lab;
@@ -28,19 +28,19 @@
 bool runOne(const std::string& path, const Options& options) {
   Scenario scene = readScenario(path);
   std::vector<std::string> variants{""};
-  variants.insert(variants.end(), scene.against.begin(), scene.against.end());
+  variants.insert(variants.end(), scene.comparedVariants.begin(), scene.comparedVariants.end());
   for (auto& name : options.against)
     if (std::ranges::find(variants, name) == variants.end())
       variants.push_back(name);
   std::vector<Run> runs;
   for (auto& name : variants)
     for (uint64_t seed = options.seed; seed < options.seed + options.seeds; ++seed) {
-      Run run{name, seed, play(scene, seed, variantNamed(name)), {}, {}};
-      bool module = variantNamed(name).deciding == Deciding::module;
+      Run run{name, seed, simulate(scene, seed, variantNamed(name)), {}, {}};
+      bool module = variantNamed(name).deciding == Decider::module;
       if (!options.program.empty() && module) {  // the same arrivals on sockets, beside virtual time
         Run real{(name.empty() ? "" : name + "-") + std::string("sockets"),
                  seed,
-                 playOnSockets(scene, run.record, variantNamed(name), options.program),
+                 runOnSockets(scene, run.record, variantNamed(name), options.program),
                  {},
                  {}};
         real.figures = figuresOf(scene, real.record);
@@ -55,8 +55,8 @@
         run.record = {};
       runs.push_back(std::move(run));
     }
-  auto figures = gather(scene, runs);
-  auto verdicts = judge(scene, figures);
+  auto figures = meanFigures(scene, runs);
+  auto verdicts = checkExpectations(scene, figures);
   printTable(std::cout, scene, runs, figures, verdicts);
   if (!options.report.empty()) {
     std::string folder = options.report + "/" + scene.name;
@@ -93,7 +93,7 @@
   };
   auto began = std::chrono::steady_clock::now();
   FiguresFile file =
-      playMembers(plan, options.threads, [&](const FiguresFile& sofar, const std::string& line) {
+      runMembersScale(plan, options.threads, [&](const FiguresFile& sofar, const std::string& line) {
         std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
         std::cerr << long(took.count()) << " s: " << line << '\n';
         if (!options.json.empty())
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -7,7 +7,7 @@
 
 #include "budget/tree_scheduler.h"
 #include "pcg32.h"
-#include "scene.h"
+#include "policy_fixture.h"
 
 using namespace elmcleat;
 using namespace elmcleat::budget;
@@ -478,9 +478,9 @@
 // --- the module with budgets
 namespace {
 
-struct BudgetScene : Scene {
+struct BudgetScene : PolicyFixture {
   BudgetScene(Settings given, const BudgetSettings& plan)
-      : Scene(given), scheduler(plan, given.gatewayCount) {
+      : PolicyFixture(given), scheduler(plan, given.gatewayCount) {
     commands.clear(), wakes.clear();
     policy = createPolicy(settings, 7, *this, &scheduler);
     policy->advanceTo(now);
@@ -490,7 +490,7 @@
 };
 
 Settings patient() {
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   for (auto& profile : site.profiles)
     profile.latencyTarget = 60, profile.clientTimeout = 100;
   return site;
@@ -507,11 +507,11 @@
     for (int i = 0; i < 8; ++i)
       site.tenants.push_back({"s" + std::to_string(i), 0.1, 0});
     BudgetSettings plan = planOf({entry("north", 4)});
-    std::unique_ptr<Scene> scene;
+    std::unique_ptr<PolicyFixture> scene;
     if (budgets)
       scene = std::make_unique<BudgetScene>(site, plan);
     else
-      scene = std::make_unique<Scene>(site);
+      scene = std::make_unique<PolicyFixture>(site);
     scene->nodes({1});
     auto press = [&] {
       scene->take("waits", "quick", 0.1, "south");
@@ -547,7 +547,7 @@
 }
 
 TEST_CASE("the module: under overload what is within its guarantee is shed last") {
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.tenants = {{"north", 0.5, 0}, {"south", 0.5, 0}};
   NodeEntry north = entry("north", 8);
   north.settings.burst = 30;
@@ -603,7 +603,7 @@
     "the module: rule 1 holds with budgets, also where nobody may ever start and the clock steps back") {
   NodeEntry none = entry("north", 0);
   none.settings.ceiling.cores = 0;
-  BudgetScene scene(Scene::site(), planOf({none}));
+  BudgetScene scene(PolicyFixture::site(), planOf({none}));
   scene.nodes({1});
   scene.take("never", "quick", 0.1, "north");
   scene.now = 99, scene.policy->advanceTo(99), scene.policy->decide();
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -7,9 +7,9 @@
 #include <map>
 #include <queue>
 
+#include "null_action_sink.h"
 #include "pcg32.h"
 #include "policy.h"
-#include "quiet_outlet.h"
 
 using namespace elmcleat;
 
@@ -22,7 +22,7 @@
   double at, work;
 };
 
-struct Member final : QuietOutlet {  // one gateway: its clock is off by as much as the protocol allows for
+struct Member final : NullActionSink {  // one gateway: its clock is off by as much as the protocol allows for
   Member(const Settings& settings, uint64_t seed, double skew, std::vector<Landed>& landed)
       : off(skew), landed(landed), policy(createPolicy(settings, seed, *this)) {}
   void send(Command& command, uint32_t node, double, double) override {
--- a/tests/fleet/members_test.cpp
+++ b/tests/fleet/members_test.cpp
@@ -13,7 +13,7 @@
 struct Team {
   explicit Team(int count) : engines(1), relay(count), wire(planOf(count)), starts(size_t(count)) {
     for (int i = 0; i < count; ++i) {
-      services.push_back(std::make_unique<Service>(engines, 1));
+      services.push_back(std::make_unique<GatewayProcess>(engines, 1));
       services.back()->config["name"] = "n" + std::to_string(i);
       services.back()->config["settings"]["limits"]["peers"] = true;
       services.back()->gateway = Json{{"members", relay.section(i)}}.dump();
@@ -33,7 +33,7 @@
     starts[size_t(member)] = now();
     services[size_t(member)]->start();
   }
-  Service& at(int member) { return *services[size_t(member)]; }
+  GatewayProcess& at(int member) { return *services[size_t(member)]; }
   // What `who` holds of `whom`, by the record since its start.
   MemberStatus held(int who, int whom) {
     MemberStatus most;
@@ -91,10 +91,10 @@
     CHECK_EQ(answer(*client), kServed);
   }
 
-  Engines engines;
+  EngineStubs engines;
   Relay relay;
   MessageCodec wire;
-  std::vector<std::unique_ptr<Service>> services;
+  std::vector<std::unique_ptr<GatewayProcess>> services;
   std::vector<double> starts;
   int commands = 0;
 };
@@ -181,7 +181,7 @@
   Team team(3);
   REQUIRE(team.holds({0, 1, 2}, {0, 1, 2}, true));
   auto second = [&](Json section) {
-    auto made = std::make_unique<Service>(team.engines, 1);
+    auto made = std::make_unique<GatewayProcess>(team.engines, 1);
     made->config["name"] = "n1", made->config["settings"]["limits"]["peers"] = true;
     made->gateway = Json{{"members", section}}.dump();
     made->start();
--- a/tests/fleet/relay.h
+++ b/tests/fleet/relay.h
@@ -12,13 +12,13 @@
 
 namespace {
 
-struct Bad {  // of one direction
+struct LinkConditions {  // of one direction
   bool cut = false;
   double delay = 0, jitter = 0;             // seconds
   double loss = 0, copies = 0, damage = 0;  // parts of the datagrams
 };
 
-struct Passed {
+struct RelayedDatagram {
   double at = 0;
   int from = 0, to = 0;
   bool delivered = false;
@@ -50,11 +50,11 @@
     return {{"fleet", "test"}, {"peers", peers}};
   }
   sockaddr_in real(int member) const { return real_[size_t(member)]; }
-  void set(int from, int to, Bad bad) {
+  void set(int from, int to, LinkConditions bad) {
     std::lock_guard lock(mutex_);
     bad_[size_t(from * count_ + to)] = bad;
   }
-  void all(Bad bad) {
+  void all(LinkConditions bad) {
     for (int a = 0; a < count_; ++a)
       for (int b = 0; b < count_; ++b)
         set(a, b, bad);
@@ -66,7 +66,7 @@
         if (inside(a) != inside(b))
           set(a, b, {.cut = is});
   }
-  std::vector<Passed> passed() {
+  std::vector<RelayedDatagram> passed() {
     std::lock_guard lock(mutex_);
     return record_;
   }
@@ -126,7 +126,7 @@
     for (ssize_t got; (got = recv(ends_[{from, to}]->datagrams, bytes, sizeof bytes, 0)) >= 0;) {
       std::string text(bytes, size_t(got));
       std::lock_guard lock(mutex_);
-      Bad bad = bad_[size_t(from * count_ + to)];
+      LinkConditions bad = bad_[size_t(from * count_ + to)];
       bool lost = bad.cut || part() < bad.loss;
       record_.push_back({now(), from, to, !lost, text});
       if (lost)
@@ -167,9 +167,9 @@
   int count_;
   std::vector<sockaddr_in> real_;
   std::map<std::pair<int, int>, std::unique_ptr<End>> ends_;
-  std::vector<Bad> bad_;
+  std::vector<LinkConditions> bad_;
   std::multimap<double, Due> due_;
-  std::vector<Passed> record_;
+  std::vector<RelayedDatagram> record_;
   std::mutex mutex_;
   std::mt19937 chance_{20261202};
   std::atomic<bool> over_{false};
--- a/tests/fleet/shared_test.cpp
+++ b/tests/fleet/shared_test.cpp
@@ -10,13 +10,13 @@
 // Clients of one process, each with one command in hand all the while.
 class Pump {
  public:
-  Pump(Service& service, int number)
+  Pump(GatewayProcess& service, int number)
       : thread_([this, &service, number] {
-          std::vector<std::unique_ptr<Peer>> clients(16);
+          std::vector<std::unique_ptr<StubConnection>> clients(16);
           for (int id = number * 1'000'000; !over_;) {
             std::vector<pollfd> ready;
             for (auto& client : clients) {
-              if (!client && (client = Peer::to(service.listen)))
+              if (!client && (client = StubConnection::to(service.listen)))
                 client->write(post(++id, "quick", 3000));
               ready.push_back({client ? client->fd() : -1, POLLIN, 0});
             }
@@ -47,7 +47,7 @@
 struct Sharers {
   explicit Sharers(bool sharing = true) : none(0), relay(3) {
     for (int i = 0; i < 3; ++i) {
-      services.push_back(std::make_unique<Service>(none, 0));
+      services.push_back(std::make_unique<GatewayProcess>(none, 0));
       Json& config = services.back()->config;
       config["name"] = "n" + std::to_string(i);
       config["settings"]["limits"]["peers"] = true, config["settings"]["balancers"] = 3;
@@ -90,10 +90,10 @@
     return most;
   }
 
-  Engines none;
-  Crowd crowd;
+  EngineStubs none;
+  EngineStubFarm crowd;
   Relay relay;
-  std::vector<std::unique_ptr<Service>> services;
+  std::vector<std::unique_ptr<GatewayProcess>> services;
 };
 
 }  // namespace
--- a/tests/fleet/view_fleet.h
+++ b/tests/fleet/view_fleet.h
@@ -43,7 +43,7 @@
 
  private:
   struct Follower {
-    std::unique_ptr<Peer> peer;
+    std::unique_ptr<StubConnection> peer;
     bool mute = false;
     uint64_t known = 0;
     double wrote = -1;
@@ -96,7 +96,7 @@
 // Clients of one process, each with a command most of the time, one in a few milliseconds.
 class Load {
  public:
-  Load(Service& service, int number, size_t clients = 8)
+  Load(GatewayProcess& service, int number, size_t clients = 8)
       : thread_([this, &service, number, clients] { run(service, number, clients); }) {}
   ~Load() { stop(); }
   void stop() {  // nothing new; what is in hand gets its answer
@@ -109,9 +109,9 @@
   std::atomic<int> served{0};
 
  private:
-  void run(Service& service, int number, size_t clients) {
+  void run(GatewayProcess& service, int number, size_t clients) {
     struct One {
-      std::unique_ptr<Peer> peer = {};
+      std::unique_ptr<StubConnection> peer = {};
       bool out = false;
       double next = 0;
     };
@@ -123,7 +123,7 @@
       std::vector<pollfd> ready;
       for (auto& one : all) {
         if (!one.peer)
-          one.peer = Peer::to(service.listen);
+          one.peer = StubConnection::to(service.listen);
         if (one.peer && !over_ && !one.out && now() >= one.next)
           ask(*one.peer, number), one.out = true;
         ready.push_back({one.out ? one.peer->fd() : -1, POLLIN, 0});
@@ -142,7 +142,7 @@
     }
     told["none"] += int(std::ranges::count_if(all, asks));
   }
-  void ask(Peer& peer, int number) {  // each a table of its own, so that no engine is preferred
+  void ask(StubConnection& peer, int number) {  // each a table of its own, so that no engine is preferred
     static std::atomic<int> count{0};
     int id = ++count;
     ++asked;
@@ -164,7 +164,7 @@
     for (uint32_t id = 1; id <= engines; ++id)
       listed.insert(id);
     for (size_t i = 0; i < ordinals.size(); ++i) {
-      auto& service = services.emplace_back(std::make_unique<Service>(none, 0, 300));
+      auto& service = services.emplace_back(std::make_unique<GatewayProcess>(none, 0, 300));
       Json& settings = service->config["settings"];
       settings["balancers"] = dispatchers, settings["ordinal"] = ordinals[i];
       settings["localities"] = {"east", "west", "north"};
@@ -266,10 +266,10 @@
   int all;
   std::vector<int> ordinal;
   std::set<uint32_t> listed;
-  Engines none;
-  Crowd crowd;
+  EngineStubs none;
+  EngineStubFarm crowd;
   ChangeLog log;
-  std::vector<std::unique_ptr<Service>> services;
+  std::vector<std::unique_ptr<GatewayProcess>> services;
   std::vector<std::unique_ptr<Load>> loads;
 };
 
--- a/tests/fleet/view_test.cpp
+++ b/tests/fleet/view_test.cpp
@@ -45,7 +45,7 @@
     std::set<uint32_t> at;
     for (uint32_t id : lost)
       at.insert(kFirst + id);
-    fleet.crowd.set(Crowd::Way::late, at);
+    fleet.crowd.set(EngineStubFarm::Way::late, at);
     fleet.load();
     auto inHand = [&] {
       return std::ranges::any_of(fleet.sends(now() - 0.05),
@@ -65,7 +65,7 @@
     for (auto& sent : fleet.sends(told + kGrace))
       CHECK_FALSE(lost.contains(sent.engine));
 
-    fleet.crowd.set(Crowd::Way::answers, at);
+    fleet.crowd.set(EngineStubFarm::Way::answers, at);
     double back = now();
     fleet.log.tell(false, fleet.records(lost, 0, unixMs()));
     auto warming = [&] {
@@ -202,7 +202,7 @@
   for (uint32_t id : fleet.listed)
     if (fleet.place(0, id) < 3 && ++mine % 3 > 0)
       (mine % 3 == 1 ? hang : refuse).insert(kFirst + id);
-  fleet.crowd.set(Crowd::Way::hangs, hang), fleet.crowd.set(Crowd::Way::refuses, refuse);
+  fleet.crowd.set(EngineStubFarm::Way::hangs, hang), fleet.crowd.set(EngineStubFarm::Way::refuses, refuse);
   Load load(*fleet.services[0], 0, 24);
   auto& service = *fleet.services[0];
   CHECK(service.logs("by its own width"));
@@ -211,7 +211,7 @@
   CHECK(Fleet::soon([&] { return load.served > served + 300; }));
   auto ill = hang;
   ill.merge(refuse);
-  fleet.crowd.set(Crowd::Way::answers, ill);
+  fleet.crowd.set(EngineStubFarm::Way::answers, ill);
   CHECK(Fleet::soon([&] {
     auto text = service.log();
     auto last = text.rfind("engines change by its own width");
@@ -244,7 +244,7 @@
 }
 
 TEST_CASE("what is wrong at a start ends it with one line; another view at SIGHUP changes nothing") {
-  Engines none(0);
+  EngineStubs none(0);
   Json view{{"view", planOf()}}, both = view;
   both["members"] = {
       {"fleet", "test"},
@@ -254,7 +254,7 @@
   for (auto& [settings, own, name] : {std::tuple{missing, view, "view: ordinal-missing: "},
                                       std::tuple{large, view, "view: ordinal-too-large: "},
                                       std::tuple{fine, both, "view: counts-differ: "}}) {
-    Service service(none, 0);
+    GatewayProcess service(none, 0);
     service.config["settings"].update(settings);
     service.config["settings"]["limits"]["peers"] = true;
     service.gateway = own.dump();
@@ -303,8 +303,8 @@
 }
 
 TEST_CASE("ordered commands in hand at an engine that leaves the view end there, or go with their client") {
-  Engines engines(2);
-  Service service(engines, 2);
+  EngineStubs engines(2);
+  GatewayProcess service(engines, 2);
   auto id = [](int place) {  // the first engine where the dispatcher 0 of two stands there
     for (uint32_t one = 1;; ++one)
       if (elmcleat::view::rendezvousRank(one, 0, 2, 2) == place)
@@ -320,15 +320,15 @@
   auto log = service.follower();
   log->write(change(2, id(0), 1, engines.address(0)));  // it drains: the other comes into view
   CHECK(service.logs("reach 2"));
-  std::vector<std::unique_ptr<Peer>> clients;
+  std::vector<std::unique_ptr<StubConnection>> clients;
   auto ask = [&](int number, const std::string& key) {
     clients.push_back(service.client());
     clients.back()->write(post(number, "load", 9000, kToken + "Req-Key: " + key + "\r\n"));
   };
   ask(1, idOf(100));
-  Line one = engines.next();
+  EngineRequestLine one = engines.next();
   ask(2, idOf(200));
-  Line two = engines.next();
+  EngineRequestLine two = engines.next();
   CHECK_EQ(one.engine + two.engine, 2);
   ask(3, idOf(100)), ask(4, idOf(200));  // behind them
   log->write(change(3, id(0), 0, engines.address(0)));
@@ -336,13 +336,13 @@
   clients[1]->close();  // withdrawn; what runs there ends first all the same
   CHECK_EQ(engines.next(300).verb, "");
   two.hit();
-  Line four = engines.next();
+  EngineRequestLine four = engines.next();
   CHECK_EQ(four.id + std::to_string(four.engine), idOf(4) + "0");
   four.hit();
   CHECK_EQ(answer(*clients[3]), kServed);
   one.hit();
   CHECK_EQ(answer(*clients[0]), kServed);
-  Line three = engines.next();
+  EngineRequestLine three = engines.next();
   CHECK_EQ(three.id + std::to_string(three.engine), idOf(3) + "0");
   three.hit();
   CHECK_EQ(answer(*clients[2]), kServed);
--- a/tests/fuzz/members_fuzz.cpp
+++ b/tests/fuzz/members_fuzz.cpp
@@ -9,7 +9,7 @@
 #include <iterator>
 #include <string>
 
-#include "lab/gossip.h"
+#include "lab/membership_simulation.h"
 #include "shared/lease_codec.h"
 
 using namespace elmcleat;
@@ -35,7 +35,7 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
-  static const MembershipSettings plan = lab::Gossip::plan(8);
+  static const MembershipSettings plan = lab::MembershipSimulation::settingsFor(8);
   static const MessageCodec wire(plan);
   std::string in(reinterpret_cast<const char*>(data), size);
   if (in.size() < 3)
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -3,9 +3,9 @@
 
 #include <map>
 
-#include "lab/engine.h"
 #include "lab/report.h"
-#include "lab/world.h"
+#include "lab/simulated_engine.h"
+#include "lab/simulation.h"
 
 using namespace elmcleat;
 using namespace elmcleat::lab;
@@ -14,7 +14,7 @@
 
 Scenario small(const std::string& file = "budget-burst") {
   Scenario scene = readScenario(std::string(SCENARIOS) + file + ".json");
-  scene.lasts = 25;
+  scene.duration = 25;
   return scene;
 }
 Scenario one() {  // a team, a non-replayable profile
@@ -22,14 +22,14 @@
   Profile load;
   load.name = "load", load.retrySafety = RetrySafety::nonReplayable, load.clientTimeout = 5;
   scene.settings.profiles = {load}, scene.teams = {{"a", 1, 0, 1, 1, {}}};
-  scene.settings.maxSends = 3, scene.lasts = 100;
+  scene.settings.maxSends = 3, scene.duration = 100;
   return scene;
 }
-Record with(std::vector<Row> rows) {
-  Record record;
-  record.asked.push_back({0, 0, 0, 1, 0.1, 2, 6, 0, 0});
-  rows.insert(rows.begin(), {1, Mark::taken, 0, 0, 0});
-  record.rows = std::move(rows);
+RunRecord with(std::vector<RunEvent> rows) {
+  RunRecord record;
+  record.commands.push_back({0, 0, 0, 1, 0.1, 2, 6, 0, 0});
+  rows.insert(rows.begin(), {1, RunEventKind::taken, 0, 0, 0});
+  record.events = std::move(rows);
   return record;
 }
 
@@ -37,14 +37,14 @@
 
 TEST_CASE("an engine shares its cores by threads and priority, and no command gets more than its threads") {
   Fleet fleet;
-  fleet.kind.cores = 4, fleet.fall = 0, fleet.warmSaves = 0;
-  Engine engine(fleet);
+  fleet.hardware.cores = 4, fleet.fall = 0, fleet.warmSaves = 0;
+  SimulatedEngine engine(fleet);
   engine.begin(0, {1, 2, 2, 0, 1, 1, 0}, 1);
   CHECK_EQ(*engine.nextEnd(), doctest::Approx(2));  // alone, on its one thread
   for (uint64_t i = 2; i <= 8; ++i)
     engine.begin(0, {i, 2, 2, 0, 1, 1, 0}, i);
   CHECK_EQ(*engine.nextEnd(), doctest::Approx(4));  // eight on four cores
-  engine.rank(0, 1, 3);
+  engine.setPriority(0, 1, 3);
   CHECK_EQ(*engine.nextEnd(), doctest::Approx(2));  // a core of its own again
   auto over = engine.finished(2);
   REQUIRE_EQ(over.size(), 1);
@@ -57,41 +57,45 @@
 
 TEST_CASE("memory that runs short makes commands spill, a warm group saves work, a cold engine falls over") {
   Fleet fleet;
-  fleet.kind.cores = 4, fleet.kind.memoryMb = 100, fleet.spillCost = 1.5, fleet.warmSaves = 0.5;
-  Engine engine(fleet);
+  fleet.hardware.cores = 4, fleet.hardware.memoryMb = 100, fleet.spillCost = 1.5, fleet.warmSaves = 0.5;
+  SimulatedEngine engine(fleet);
   engine.begin(0, {1, 1, 1, 150, 1, 1, 0}, 7);
   CHECK_EQ(*engine.nextEnd(), doctest::Approx(1.5));  // a third of it missing
   engine.drop(0, 1);
   engine.begin(0, {2, 1, 1, 10, 1, 1, 0}, 7);
   CHECK_EQ(*engine.nextEnd(), doctest::Approx(0.5));
   fleet.coldFrom = 0.25, fleet.coldTime = 10, fleet.fallMultiple = 2, fleet.fallTime = 1;
-  Engine cold(fleet);
+  SimulatedEngine cold(fleet);
   cold.start(0, true);
   cold.begin(0, {1, 2, 2, 0, 1, 1, 0}, 1);  // twice its one core
-  CHECK_FALSE(cold.fell);
+  CHECK_FALSE(cold.overloadedWhileCold);
   cold.begin(0.1, {2, 1, 1, 0, 1, 1, 0}, 2);
-  CHECK(cold.fell);
+  CHECK(cold.overloadedWhileCold);
 }
 
 TEST_CASE("checkers find what breaks a rule, and pass what does not") {
-  auto broken = [](std::vector<Row> rows) {
+  auto broken = [](std::vector<RunEvent> rows) {
     auto lines = brokenRules(one(), with(std::move(rows)));
     return lines.empty() ? std::string() : lines[0].substr(0, 6);
   };
-  Row sent{1, Mark::sent, 0, 1, 0}, ran{1.1, Mark::ran, 0, 1, 0}, over{2, Mark::over, 0, 1, 0};
-  Row answered{2, Mark::answered, 0, 1, 0}, shed{2, Mark::shed, 0, 1, 0}, failed{2, Mark::failed, 0, 1, 0};
+  RunEvent sent{1, RunEventKind::sent, 0, 1, 0}, ran{1.1, RunEventKind::ran, 0, 1, 0},
+      over{2, RunEventKind::over, 0, 1, 0};
+  RunEvent answered{2, RunEventKind::answered, 0, 1, 0}, shed{2, RunEventKind::shed, 0, 1, 0},
+      failed{2, RunEventKind::failed, 0, 1, 0};
   CHECK_EQ(broken({sent, ran, over, answered}), "");
   CHECK_EQ(broken({sent, over, sent, ran, over, answered}), "");  // the first never ran
   CHECK_EQ(broken({}), "rule 1");                                 // no answer
   CHECK_EQ(broken({sent, ran, over, answered, answered}), "rule 1");
   CHECK_EQ(broken({answered, sent}), "rule 1");
-  CHECK_EQ(broken({{6.2, Mark::failed, 0, 1, 0}}), "rule 1");  // after its client's end
+  CHECK_EQ(broken({{6.2, RunEventKind::failed, 0, 1, 0}}), "rule 1");  // after its client's end
   CHECK_EQ(broken({sent, sent, over, over, failed}), "rule 2");
   CHECK_EQ(broken({sent, ran, over, sent, over, failed}), "rule 2");
   CHECK_EQ(broken({sent, ran, over, shed}), "rule 2");
-  CHECK_EQ(broken({{0.5, Mark::drained, 0, 1, 0}, sent, over, failed}), "rule 3");
-  CHECK_EQ(broken({{0.9, Mark::drained, 0, 1, 0}, sent, over, failed}), "");
-  CHECK_EQ(broken({{0.5, Mark::drained, 0, 1, 0}, {0.6, Mark::told, 0, 1, 0}, sent, over, failed}), "");
+  CHECK_EQ(broken({{0.5, RunEventKind::drained, 0, 1, 0}, sent, over, failed}), "rule 3");
+  CHECK_EQ(broken({{0.9, RunEventKind::drained, 0, 1, 0}, sent, over, failed}), "");
+  CHECK_EQ(
+      broken({{0.5, RunEventKind::drained, 0, 1, 0}, {0.6, RunEventKind::told, 0, 1, 0}, sent, over, failed}),
+      "");
   CHECK_EQ(broken({sent, over, sent, over, sent, over, sent, over, failed}), "rule 7");
   auto record = with({answered});
   record.fell = 1;
@@ -100,29 +104,30 @@
 
 TEST_CASE("the same scenario and seed give the same record, and the baselines another one") {
   auto scene = small();
-  auto first = play(scene, 3, variantNamed("")), again = play(scene, 3, variantNamed(""));
-  REQUIRE_EQ(first.rows.size(), again.rows.size());
+  auto first = simulate(scene, 3, variantNamed("")), again = simulate(scene, 3, variantNamed(""));
+  REQUIRE_EQ(first.events.size(), again.events.size());
   bool same = true;
-  for (size_t i = 0; i < first.rows.size(); ++i)
-    same &= first.rows[i].at == again.rows[i].at && first.rows[i].mark == again.rows[i].mark &&
-            first.rows[i].command == again.rows[i].command && first.rows[i].node == again.rows[i].node;
+  for (size_t i = 0; i < first.events.size(); ++i)
+    same &= first.events[i].at == again.events[i].at && first.events[i].mark == again.events[i].mark &&
+            first.events[i].command == again.events[i].command &&
+            first.events[i].node == again.events[i].node;
   CHECK(same);
   for (auto name : {"plain", "random", "fifo"}) {
-    auto other = play(scene, 3, variantNamed(name));
-    CHECK_EQ(other.asked.size(), first.asked.size());  // the same arrivals
-    CHECK_NE(other.rows.size(), first.rows.size());
+    auto other = simulate(scene, 3, variantNamed(name));
+    CHECK_EQ(other.commands.size(), first.commands.size());  // the same arrivals
+    CHECK_NE(other.events.size(), first.events.size());
   }
-  CHECK_NE(play(scene, 4, variantNamed("")).asked.size(), first.asked.size());
+  CHECK_NE(simulate(scene, 4, variantNamed("")).commands.size(), first.commands.size());
 }
 
 TEST_CASE("drains, lost, silent, failing and slow engines: rules hold, and each costs something") {
   auto scene = small();
-  scene.troubles.clear();
-  double calm = figuresOf(scene, play(scene, 1, variantNamed("")))["benefit"];
+  scene.disturbances.clear();
+  double calm = figuresOf(scene, simulate(scene, 1, variantNamed("")))["benefit"];
   for (auto kind : {"drain", "lose", "silent", "failing", "slow"}) {
     CAPTURE(kind);
-    scene.troubles = {{kind, 8, 8, "", 4, 0.75, {}}};
-    auto record = play(scene, 1, variantNamed(""));
+    scene.disturbances = {{kind, 8, 8, "", 4, 0.75, {}}};
+    auto record = simulate(scene, 1, variantNamed(""));
     CHECK_EQ(brokenRules(scene, record).size(), 0);
     CHECK_LT(figuresOf(scene, record)["benefit"], calm);
   }
@@ -135,29 +140,30 @@
 
 TEST_CASE("a view bounds who uses an engine; a zone alone is lost, and a roll replaces its part in steps") {
   Scenario scene = readScenario(std::string(SCENARIOS) + "view-small.json");
-  scene.lasts = 12, scene.troubles.clear(), scene.view->usersPerEngine = scene.view->maxUsersPerEngine = 4;
+  scene.duration = 12, scene.disturbances.clear(),
+  scene.view->usersPerEngine = scene.view->maxUsersPerEngine = 4;
   scene.fleet.gateways = scene.settings.gatewayCount = 24;
   auto mostUsers = [&](const char* variant) {
-    return figuresOf(scene, play(scene, 1, variantNamed(variant))).at("engines.users.most");
+    return figuresOf(scene, simulate(scene, 1, variantNamed(variant))).at("engines.users.most");
   };
   CHECK_LE(mostUsers(""), scene.view->usersPerEngine);
   CHECK_GT(mostUsers("whole"), scene.view->usersPerEngine);
-  auto told = [&](Mark mark) {  // engines, by one gateway
+  auto told = [&](RunEventKind mark) {  // engines, by one gateway
     std::map<uint32_t, int> times;
-    Record record = play(scene, 1, variantNamed(""));
+    RunRecord record = simulate(scene, 1, variantNamed(""));
     CHECK_EQ(brokenRules(scene, record).size(), 0);
-    for (auto& row : record.rows)
+    for (auto& row : record.events)
       if (row.mark == mark && row.gateway == 5)
         ++times[row.node];
     return times;
   };
-  Trouble lost{"lose", 3, 3, "", 1, 1, {}};
-  lost.zone = "z3", scene.troubles = {lost};
-  auto nodes = told(Mark::drained);
+  Disturbance lost{"lose", 3, 3, "", 1, 1, {}};
+  lost.zone = "z3", scene.disturbances = {lost};
+  auto nodes = told(RunEventKind::drained);
   CHECK_EQ(nodes.size(), 28);
   for (auto& [node, times] : nodes)
     CHECK_EQ(node % 16, 3);
-  Trouble roll{"roll", 1, 4, "", 1, 0.3, {}};
-  roll.steps = 4, scene.troubles = {roll};
-  CHECK_EQ(told(Mark::told).size(), 132);  // each once, when it came back
+  Disturbance roll{"roll", 1, 4, "", 1, 0.3, {}};
+  roll.steps = 4, scene.disturbances = {roll};
+  CHECK_EQ(told(RunEventKind::told).size(), 132);  // each once, when it came back
 }
--- a/tests/members_scale_test.cpp
+++ b/tests/members_scale_test.cpp
@@ -23,7 +23,7 @@
 }
 
 std::vector<Phase> phasesOf(const MembersScene& scene, int size, uint64_t seed = 1) {
-  Played played = play(scene, size, kRegions, seed);
+  SceneResult played = simulate(scene, size, kRegions, seed);
   REQUIRE_EQ(played.broken, "");
   for (auto& phase : played.phases)
     CHECK_EQ(phase.wrongDowns, 0);
@@ -47,14 +47,14 @@
 }
 
 TEST_CASE("whether all agree, found from where they last did not: the same as a walk over all pairs") {
-  Gossip fleet(Gossip::plan(20), 4);
+  MembershipSimulation fleet(MembershipSimulation::settingsFor(20), 4);
   fleet.regions(4);
   int agreed = 0, not_ = 0;
   auto watch = [&](int steps) {
     for (int i = 0; i < steps; ++i) {
       fleet.run(fleet.now() + 0.05);
-      REQUIRE_EQ(fleet.agreed(), fleet.heldWrongly() == 0);
-      ++(fleet.agreed() ? agreed : not_);
+      REQUIRE_EQ(fleet.hasConverged(), fleet.inaccurateShare() == 0);
+      ++(fleet.hasConverged() ? agreed : not_);
     }
   };
   fleet.startAll(), watch(60);
@@ -121,14 +121,14 @@
 }
 
 TEST_CASE("regions that lose a tenth of what goes between them: some are suspected, nobody is called down") {
-  Gossip fleet(Gossip::plan(60), 6);
+  MembershipSimulation fleet(MembershipSimulation::settingsFor(60), 6);
   fleet.regions(kRegions), fleet.startAll();
-  REQUIRE(fleet.untilAgreed(10) >= 0);
-  fleet.between.loss = 0.1;
+  REQUIRE(fleet.runUntilConverged(10) >= 0);
+  fleet.regionNetwork.loss = 0.1;
   fleet.run(fleet.now() + 60);
   CHECK_GT(fleet.suspicions(), 0);
-  CHECK_EQ(fleet.wrongDowns(), 0);
-  CHECK_EQ(fleet.broken(), "");
+  CHECK_EQ(fleet.falseDownDetections(), 0);
+  CHECK_EQ(fleet.violation(), "");
 }
 
 TEST_CASE("the plan that is kept can be read; a faulty one says where") {
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -7,14 +7,14 @@
 #include <fstream>
 #include <sstream>
 
-#include "lab/gossip.h"
+#include "lab/membership_simulation.h"
 #include "members/membership_settings.h"
 #include "seeds.h"
 #include "wire.pb.h"
 
 using namespace elmcleat;
 using namespace elmcleat::members;
-using lab::Gossip;
+using lab::MembershipSimulation;
 
 namespace {
 
@@ -36,12 +36,12 @@
 }
 
 // A fleet that has found itself.
-struct Together : Gossip {
-  explicit Together(int count, uint64_t seed = 1) : Gossip(plan(count), seed) {
+struct Together : MembershipSimulation {
+  explicit Together(int count, uint64_t seed = 1) : MembershipSimulation(settingsFor(count), seed) {
     startAll();
-    REQUIRE(untilAgreed(10) >= 0);
+    REQUIRE(runUntilConverged(10) >= 0);
   }
-  void sound() { CHECK_EQ(broken(), ""); }
+  void sound() { CHECK_EQ(violation(), ""); }
 };
 
 }  // namespace
@@ -57,7 +57,7 @@
 
 TEST_CASE("cores that have heard the same rows hold the same, in any order and with copies") {
   CHECK(rc::check([] {
-    auto plan = Gossip::plan(6);
+    auto plan = MembershipSimulation::settingsFor(6);
     auto rows = *rc::gen::container<std::vector<std::pair<int, MemberStatus>>>(
         rc::gen::pair(rc::gen::inRange(2, 6), claims()));
     auto shuffled = rows;
@@ -81,7 +81,7 @@
 }
 
 TEST_CASE("the wire: what was written is read; what is damaged, foreign or too new is told and not used") {
-  MembershipSettings plan = Gossip::plan(4);
+  MembershipSettings plan = MembershipSimulation::settingsFor(4);
   MessageCodec wire(plan);
   Message message = from(1, 2, 7, MessageKind::ack);
   message.probe = 9, message.subject = 3, message.digest = 1234567;
@@ -142,7 +142,7 @@
 }
 
 TEST_CASE("a message that came before, or is older than all that is remembered, is counted and not heard") {
-  Membership membership(Gossip::plan(3), 0, {5, 1}, 1, 0);
+  Membership membership(MembershipSimulation::settingsFor(3), 0, {5, 1}, 1, 0);
   auto replays = [&] { return membership.snapshot(0).errorCounts[size_t(ErrorKind::replayed)]; };
   for (uint64_t sequence : {1, 3, 2, 200, 150})
     membership.receive(0, from(1, 0, sequence));
@@ -163,24 +163,24 @@
   for (int count : {3, 10, 60}) {
     Together fleet(count, 3);
     fleet.kill(1);
-    CHECK(fleet.untilAgreed(4) > 0);
+    CHECK(fleet.runUntilConverged(4) > 0);
     fleet.start(1);
-    CHECK(fleet.untilAgreed(3) > 0);
+    CHECK(fleet.runUntilConverged(3) > 0);
     fleet.reset();
     fleet.leave(2);
-    double took = fleet.untilAgreed(3);
+    double took = fleet.runUntilConverged(3);
     CHECK((took >= 0 && took < 1));  // sooner than any suspicion ends
-    CHECK_EQ(fleet.core(0).statusOf(2).state, MemberState::left);
-    CHECK_EQ(fleet.downs(), 0);
+    CHECK_EQ(fleet.membership(0).statusOf(2).state, MemberState::left);
+    CHECK_EQ(fleet.downDetections(), 0);
     fleet.sound();
   }
 }
 
 TEST_CASE("on a bad network nobody who runs is called down") {
   Together fleet(30, 5);
-  fleet.weather.loss = 0.1, fleet.weather.copies = 0.1, fleet.weather.most = 0.05;
+  fleet.network.loss = 0.1, fleet.network.duplication = 0.1, fleet.network.maxDelay = 0.05;
   fleet.run(fleet.now() + 120);
-  CHECK_EQ(fleet.downs(), 0);
+  CHECK_EQ(fleet.downDetections(), 0);
   fleet.sound();
 }
 
@@ -188,8 +188,8 @@
   Together fleet(6, 7);
   fleet.cut(0, 1), fleet.cut(2, 3), fleet.cut(3, 2);
   fleet.run(fleet.now() + 60);
-  CHECK_EQ(fleet.downs(), 0);
-  CHECK(fleet.agreed());
+  CHECK_EQ(fleet.downDetections(), 0);
+  CHECK(fleet.hasConverged());
   fleet.sound();
 }
 
@@ -198,12 +198,12 @@
   std::vector<int> third;
   for (int i = 0; i < 20; ++i)
     third.push_back(i);
-  fleet.part(third);
+  fleet.partition(third);
   fleet.run(fleet.now() + 30);
   for (int i = 0; i < 60; ++i)
-    CHECK_EQ(fleet.core(i).snapshot(fleet.now()).presentMembers, i < 20 ? 20 : 40);
-  fleet.part(third, false);
-  double took = fleet.untilAgreed(3);
+    CHECK_EQ(fleet.membership(i).snapshot(fleet.now()).presentMembers, i < 20 ? 20 : 40);
+  fleet.partition(third, false);
+  double took = fleet.runUntilConverged(3);
   CHECK(took > 0);
   fleet.sound();
 }
@@ -211,19 +211,19 @@
 TEST_CASE("a process that stood still blames nobody when it goes on, and is there again at once") {
   Together fleet(12, 13);
   fleet.kill(7);
-  while (fleet.core(4).statusOf(7).state != MemberState::suspect)
+  while (fleet.membership(4).statusOf(7).state != MemberState::suspect)
     fleet.run(fleet.now() + 0.01);
   fleet.pause(4), fleet.start(7);  // its suspicion would have ended long before it goes on
   fleet.run(fleet.now() + 10);
-  CHECK(fleet.agreed());  // it is down to all
-  double promised = fleet.core(4).snapshot(fleet.now()).promisesAllowedFrom;
+  CHECK(fleet.hasConverged());  // it is down to all
+  double promised = fleet.membership(4).snapshot(fleet.now()).promisesAllowedFrom;
   fleet.reset();
   fleet.resume(4);
-  CHECK(fleet.untilAgreed(3) > 0);
+  CHECK(fleet.runUntilConverged(3) > 0);
   fleet.run(fleet.now() + 5);
-  CHECK_EQ(fleet.downs(4), 0);  // seen from it: it was us who did not answer
+  CHECK_EQ(fleet.downDetections(4), 0);  // seen from it: it was us who did not answer
   CHECK_EQ(fleet.suspicions(4), 0);
-  CHECK(fleet.core(4).snapshot(fleet.now()).promisesAllowedFrom >
+  CHECK(fleet.membership(4).snapshot(fleet.now()).promisesAllowedFrom >
         promised + 10);  // nothing is promised meanwhile
   fleet.sound();
 }
@@ -232,10 +232,10 @@
   Together fleet(12, 17);
   fleet.slow(3, 3.5);  // what comes waits: far longer than a probe may take, or a suspicion
   fleet.run(fleet.now() + 120);
-  CHECK_EQ(fleet.downs(3), 0);
+  CHECK_EQ(fleet.downDetections(3), 0);
   CHECK_GT(fleet.suspicions(3), 0);  // it has every reason, as it sees it
   fleet.slow(3, 0);
-  CHECK(fleet.untilAgreed(5) >= 0);
+  CHECK(fleet.runUntilConverged(5) >= 0);
   fleet.sound();
 }
 
@@ -244,16 +244,17 @@
   fleet.kill(2);
   fleet.run(fleet.now() + 0.3);  // nobody has noticed yet
   fleet.start(2, -3600);
-  CHECK(fleet.untilAgreed(5) > 0);
-  CHECK_FALSE(fleet.core(2).isDemoted());
+  CHECK(fleet.runUntilConverged(5) > 0);
+  CHECK_FALSE(fleet.membership(2).isDemoted());
   fleet.leave(3);  // whoever left is asked no more
   fleet.run(fleet.now() + 5);
   fleet.start(3, -3600);
-  CHECK(fleet.untilAgreed(2) > 0);
-  fleet.second(5);
+  CHECK(fleet.runUntilConverged(2) > 0);
+  fleet.startDuplicate(5);
   fleet.run(fleet.now() + 30);
-  CHECK_NE(fleet.core(5).isDemoted(), fleet.secondCore(5)->isDemoted());
-  const Membership& other = fleet.core(5).isDemoted() ? fleet.core(5) : *fleet.secondCore(5);
+  CHECK_NE(fleet.membership(5).isDemoted(), fleet.duplicateMembership(5)->isDemoted());
+  const Membership& other =
+      fleet.membership(5).isDemoted() ? fleet.membership(5) : *fleet.duplicateMembership(5);
   CHECK(other.snapshot(0).errorCounts[size_t(ErrorKind::duplicateName)] > 0);
   fleet.sound();
 }
@@ -269,12 +270,12 @@
     fleet.start(i);
   fleet.run(fleet.now() + 3600);
   fleet.resume(6);
-  CHECK(fleet.untilAgreed(3) > 0);
+  CHECK(fleet.runUntilConverged(3) > 0);
   fleet.sound();
 }
 
 TEST_CASE("who starts promises nothing until whatever an earlier life promised is over") {
-  MembershipSettings plan = Gossip::plan(3);
+  MembershipSettings plan = MembershipSimulation::settingsFor(3);
   plan.maxPromiseDuration = 20;
   Membership membership(plan, 0, {5, 1}, 1, 100);
   CHECK(membership.snapshot(100).promisesAllowedFrom >= 120);
@@ -288,16 +289,17 @@
     CAPTURE(seed);
     Pcg32 chance{uint64_t(seed)};
     int count = 3 + int(chance.next() % 22);
-    Gossip fleet(Gossip::plan(count), uint64_t(seed));
+    MembershipSimulation fleet(MembershipSimulation::settingsFor(count), uint64_t(seed));
     fleet.startAll();
-    fleet.weather.loss = chance.uniformBetween(0, 0.2), fleet.weather.copies = chance.uniformBetween(0, 0.2);
-    fleet.weather.most = chance.uniformBetween(0.002, 0.1);
+    fleet.network.loss = chance.uniformBetween(0, 0.2),
+    fleet.network.duplication = chance.uniformBetween(0, 0.2);
+    fleet.network.maxDelay = chance.uniformBetween(0.002, 0.1);
     auto any = [&] { return int(chance.next() % uint32_t(count)); };
     std::vector<bool> paused(static_cast<size_t>(count));
     for (int step = 0; step < 25; ++step) {
       fleet.run(fleet.now() + chance.uniformBetween(0.1, 3));
       int who = any();
-      bool dead = !fleet.runs(who) && !paused[size_t(who)];
+      bool dead = !fleet.isRunning(who) && !paused[size_t(who)];
       switch (chance.next() % 7) {
         case 0:
           if (!dead)
@@ -307,7 +309,7 @@
           fleet.kill(who), fleet.start(who, chance.uniformBetween(-5, 5)), paused[size_t(who)] = false;
           break;
         case 2:
-          if (fleet.runs(who))
+          if (fleet.isRunning(who))
             fleet.pause(who), paused[size_t(who)] = true;
           break;
         case 3:
@@ -318,10 +320,10 @@
           fleet.cut(who, any());
           break;
         case 5:
-          fleet.part({who, any()}, chance.next() % 2);
+          fleet.partition({who, any()}, chance.next() % 2);
           break;
         case 6:
-          if (fleet.runs(who))
+          if (fleet.isRunning(who))
             fleet.leave(who);
           break;
       }
@@ -332,13 +334,13 @@
       for (int j = 0; j < count; ++j)
         fleet.cut(i, j, false);
     }
-    fleet.weather = {};
-    double took =
-        fleet.untilAgreed(20);  // a lone survivor, strained, takes 15 s to call the last of the others down
+    fleet.network = {};
+    double took = fleet.runUntilConverged(
+        20);  // a lone survivor, strained, takes 15 s to call the last of the others down
     CHECK(took >= 0);
     if (took > longest)
       longest = took, slowest = seed;
-    REQUIRE_EQ(fleet.broken(), "");
+    REQUIRE_EQ(fleet.violation(), "");
   }
   MESSAGE("longest until agreed after the faults: ", longest, " s, seed ", slowest);
 }
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -26,7 +26,7 @@
     FAIL("nobody has knocked");
   }
   // That connection: the system knocks again after a second, and after three.
-  std::unique_ptr<Peer> ready() {
+  std::unique_ptr<StubConnection> ready() {
     listener_.accept();
     return listener_.accept();
   }
@@ -36,7 +36,7 @@
   int filler_;
 };
 
-bool silent(Peer& peer) {  // nothing comes for a while
+bool silent(StubConnection& peer) {  // nothing comes for a while
   pollfd news{peer.fd(), POLLIN, 0};
   return peer.in.empty() && poll(&news, 1, 300) == 0;
 }
@@ -47,8 +47,8 @@
   for (bool together :
        {false, true}) {  // the program hears of both in one wake, or of the client's end first
     Unready unready;
-    Engines engines(1);
-    Service service(engines, 1);
+    EngineStubs engines(1);
+    GatewayProcess service(engines, 1);
     service.config["known"]["results"][0]["fleet"]["hosts"][0]["dial"] = textOf(unready.address());
     service.config["settings"]["limits"]["connectTimeoutUs"] = 6000000;
     service.start(), service.ready();
@@ -66,11 +66,11 @@
 }
 
 TEST_CASE("a command whose client has gone is not sent when a place among connections falls free") {
-  Engines engines(1);
-  Service service(engines, 1, 24);  // eight connections to engines; commands with a key want one each
+  EngineStubs engines(1);
+  GatewayProcess service(engines, 1, 24);  // eight connections to engines; commands with a key want one each
   service.start(), service.ready();
-  std::list<std::unique_ptr<Peer>> clients;
-  std::vector<Line> sends;
+  std::list<std::unique_ptr<StubConnection>> clients;
+  std::vector<EngineRequestLine> sends;
   for (int i = 0; i < 8; ++i) {
     clients.push_back(service.client());
     clients.back()->write(post(1 + i, "load", 6000, kToken + "Req-Key: " + idOf(100 + i) + "\r\n"));
@@ -84,7 +84,7 @@
   stays->write(post(21, "load", 6000, kToken + "Req-Key: " + idOf(201) + "\r\n"));
   sends.front().hit();
   service.kill(SIGCONT);
-  Line next = engines.next();
+  EngineRequestLine next = engines.next();
   CHECK_EQ(next.verb + next.id, "GET" + idOf(21));
   next.hit();
   CHECK_EQ(answer(*stays), kServed);
@@ -92,10 +92,10 @@
 }
 
 TEST_CASE("a client that closes behind more than we read of it is seen to have gone: no further attempt") {
-  Stage stage;
+  ServiceFixture stage;
   auto client = stage.service.client();
   client->write(post(1));
-  Line first = stage.engines.next();
+  EngineRequestLine first = stage.engines.next();
   client->write(std::string(200'000, 'x')), client->arrived();
   stage.service.kill(SIGSTOP);
   client->write(std::string(60'000, 'x')),
@@ -108,8 +108,8 @@
 
 TEST_CASE("a further attempt with an idempotency key begins inside its window or not at all") {
   Unready unready;
-  Engines engines(1);
-  Service service(engines, 1);
+  EngineStubs engines(1);
+  GatewayProcess service(engines, 1);
   auto& classes = service.config["settings"]["classes"];
   classes[1]["memorySpanUs"] = 500000, classes[1]["group"] = "all";
   service.config["settings"]["limits"]["connectTimeoutUs"] = 6000000;
@@ -117,7 +117,7 @@
   auto log = service.follower();
   auto client = service.client();
   client->write(post(1, "load", 8000, kToken));
-  Line first = engines.next();
+  EngineRequestLine first = engines.next();
   log->write(change(2, 9, 0, unready.address()));
   CHECK(service.logs("event 2, changes"));
   first.from->reset();  // it may have run; the other engine is asked for a connection
@@ -128,8 +128,8 @@
 }
 
 TEST_CASE("told to end with an engine that hangs: all is answered before the platform may kill it") {
-  Engines engines(1);
-  Service service(engines, 1);
+  EngineStubs engines(1);
+  GatewayProcess service(engines, 1);
   for (auto& profile : service.config["settings"]["classes"])
     profile["deadlineUs"] = 1000000;
   service.start(), service.ready();
@@ -149,10 +149,10 @@
 
 TEST_CASE(
     "told to end: half a request is read to its end, who rests is told, what comes then is not sent on") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto running = stage.service.client(), half = stage.service.client(), resting = stage.service.client();
   running->write(post(1, "once"));
-  Line first = stage.engines.next();
+  EngineRequestLine first = stage.engines.next();
   resting->write("GET /check HTTP/1.1\r\n\r\n");
   CHECK_EQ(answer(*resting), "200 {}");
   stage.service.kill(SIGTERM);
@@ -161,7 +161,7 @@
   half->write(request.substr(0, 60));
   CHECK(resting->ended());  // no client comes any more
   half->write(request.substr(60));
-  Line second = stage.engines.next();
+  EngineRequestLine second = stage.engines.next();
   CHECK_EQ(second.id, idOf(2));
   resting->write(post(3));
   CHECK_EQ(stage.engines.next(200).verb, "");
@@ -174,15 +174,15 @@
 }
 
 TEST_CASE("told to end again and again it ends as if told once") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   for (int i = 0; i < 12; ++i, pause(0.25))
     stage.service.kill(i % 3 == 1 ? SIGHUP : SIGTERM);
-  CHECK_EQ(Peer::to(stage.service.listen), nullptr);
+  CHECK_EQ(StubConnection::to(stage.service.listen), nullptr);
   CHECK_EQ(stage.service.status(), 0);
 }
 
 TEST_CASE("a change log that tells something and breaks off, each time, is not asked without a pause") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   int asked = 0;
   for (double end = now() + 0.5; now() < end; ++asked) {
     auto log = stage.service.follower();
@@ -194,13 +194,13 @@
 }
 
 TEST_CASE("idle clients hold all descriptors while the change log is away: it is followed when it is back") {
-  Engines engines(1);
-  Service service(engines, 1);
+  EngineStubs engines(1);
+  GatewayProcess service(engines, 1);
   service.start(48), service.ready();  // fewer than the configuration says
   auto log = service.follower();
   service.changeLog.down();
   log->close();
-  std::list<std::unique_ptr<Peer>> idle;
+  std::list<std::unique_ptr<StubConnection>> idle;
   for (int i = 0; i < 100; ++i)
     idle.push_back(service.client());
   auto client = service.client();
@@ -215,8 +215,8 @@
 }
 
 TEST_CASE("half requests that have to make room for others are told so") {
-  Stage stage(1, 96);  // 48 of them for clients
-  std::list<std::unique_ptr<Peer>> half;
+  ServiceFixture stage(1, 96);  // 48 of them for clients
+  std::list<std::unique_ptr<StubConnection>> half;
   for (int i = 0; i < 48; ++i) {
     half.push_back(stage.service.client());
     half.back()->write("POST /do/quick HTTP/1.1\r\nHost: x\r\n");
@@ -230,10 +230,10 @@
 }
 
 TEST_CASE("a command whose attempt hangs is given up while its answer can still be in time") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto client = stage.service.client();
   client->write(post(1, "once", 1000));
-  Line hangs = stage.engines.next();
+  EngineRequestLine hangs = stage.engines.next();
   int limit = std::stoi(hangs.fields.substr(hangs.fields.find("limit=") + 6));
   CHECK_LE(limit, 940);  // of 1,000 ms, however fast all is
   CHECK_EQ(answer(*client), kFailed);
--- a/tests/quiet_outlet.h
+++ b/tests/null_action_sink.h
@@ -6,7 +6,7 @@
 
 namespace elmcleat {
 
-struct QuietOutlet : ActionSink {
+struct NullActionSink : ActionSink {
   void setPriorityAndMemory(Command&, int, double) override {}
   void cancel(Command&, int) override {}
   void probe(uint32_t) override {}
--- a/tests/scene.h
+++ b/tests/policy_fixture.h
@@ -13,8 +13,8 @@
 
 namespace elmcleat {
 
-struct Scene : ActionSink {
-  explicit Scene(Settings given, uint64_t chance = 7) : settings(std::move(given)), seed(chance) {
+struct PolicyFixture : ActionSink {
+  explicit PolicyFixture(Settings given, uint64_t chance = 7) : settings(std::move(given)), seed(chance) {
     restart();
   }
 
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -1,6 +1,6 @@
 #include <cmath>
 
-#include "scene.h"
+#include "policy_fixture.h"
 
 using namespace elmcleat;
 
@@ -10,12 +10,12 @@
 
 // A site whose commands can wait long, so that nothing is shed, and a note that shows pressure.
 Settings patient() {
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   for (auto& profile : site.profiles)
     profile.latencyTarget = 60, profile.clientTimeout = 100;
   return site;
 }
-void press(Scene& scene) {
+void press(PolicyFixture& scene) {
   scene.take("waits", "quick", 0.1);
   scene.commands["waits"]->statusReported(StatusTopic::queued, 1);
   scene.ends("waits", Outcome::notStarted, 0, true);
@@ -29,7 +29,7 @@
   auto site = patient();
   for (auto& profile : site.profiles)
     profile.latencyTarget = 1000, profile.clientTimeout = 2000;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1});
   press(scene);
   for (int i = 0; i < 400; ++i) {
@@ -56,7 +56,7 @@
 }
 
 TEST_CASE("the mark binds only under pressure, and chance decides above it") {
-  Scene scene(patient());
+  PolicyFixture scene(patient());
   scene.nodes({1});
   scene.say("no pressure: all start, above the mark too");
   for (int i = 0; i < 18; ++i)
@@ -75,7 +75,7 @@
 
 TEST_CASE("rule 1: every command held ends in time, without any node and with hardly any time left") {
   // A timer was once lost to the rounding of the clock, and a command taken with 6 ms left was looked at too late.
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.take("waits", "quick", 0.1);
   scene.take("hasty", "quick", 0.1, "north", 1, {}, 0.006);
   scene.to(106);
@@ -83,7 +83,7 @@
 }
 
 TEST_CASE("rule 2: a non-replayable command that may have run gets neither a further send nor a shed") {
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1, 2, 3});
   scene.take("refused", "load", 1), scene.ends("refused", Outcome::overloaded);
   scene.take("failed", "load", 1), scene.ends("failed", Outcome::error);
@@ -92,10 +92,10 @@
 }
 
 TEST_CASE("rule 2: a uniqued command that may have run stays in its group and memory span") {
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.profiles[2].retrySafety = RetrySafety::deduplicated,
   site.profiles[2].deduplicationScope = DeduplicationScope::zone, site.profiles[2].deduplicationWindow = 3;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1, 2, 3, 4});  // odd ones in zone a, even ones in zone b
   scene.take("c", "load", 0.5);
   uint32_t first = scene.at["c"];
@@ -106,7 +106,7 @@
 }
 
 TEST_CASE("rule 3: nothing to a draining or gone node") {
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1, 2});
   scene.nodes({1}, EngineState::draining, {}, EngineListKind::delta);
   for (int i = 0; i < 6; ++i)
@@ -116,9 +116,9 @@
 }
 
 TEST_CASE("rule 4: a cold node gets no more than our part of its budget, and nothing right after our start") {
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.gatewayCount = 2;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1}, EngineState::inService, 99.5);
   for (int i = 0; i < 4; ++i)
     scene.take(numbered("early", i), "quick", 0.3);
@@ -144,7 +144,7 @@
     std::map<int, double> sent;  // by tenths of a second
     for (int who = 0; who < site.gatewayCount; ++who) {
       site.ordinal = who;
-      Scene scene(site, round * 1000 + who);
+      PolicyFixture scene(site, round * 1000 + who);
       uint32_t cold = 1 + uint32_t(round);
       scene.nodes({cold}, EngineState::inService, 99.9);
       int had = 0, taken = 0, crowd = who % 10 ? 4 : 40;  // as many wait at any time: unequal traffic
@@ -183,7 +183,7 @@
   for (uint32_t id = 1; id <= 80; ++id)
     ids.push_back(id);
   for (uint64_t who = 0; who < 300; ++who) {
-    Scene scene(site, who * 7919);
+    PolicyFixture scene(site, who * 7919);
     scene.nodes(ids);
     for (int i = 0; i < 100; ++i) {
       auto c = numbered("c", i);
@@ -200,9 +200,9 @@
 }
 
 TEST_CASE("rule 5: one of a key at a time, in the order taken, after the quiet time") {
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.profiles[0].ordered = true, site.keyQuietPeriod = 0.3;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1, 2});
   for (int i = 0; i < 3; ++i)
     scene.take(numbered("k", i), "quick", 0.1, "north", 1, 42);
@@ -215,9 +215,9 @@
 }
 
 TEST_CASE("rule 6: placement holds at every send, also when the allowed nodes are gone") {
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.profiles[0].allowedZones = {"a"};
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1, 2, 4});
   scene.take("c", "quick", 0.1), scene.ends("c", Outcome::error);
   CHECK_EQ(scene.at["c"], 1);
@@ -228,9 +228,9 @@
 }
 
 TEST_CASE("rule 7: further sends stay in the budget") {
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.retryBudgetWindow = 10, site.retryBudgetMinimum = 2, site.retryBudgetRatio = 0;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1, 2, 3});
   for (int i = 0; i < 6; ++i)
     scene.take(numbered("c", i), "quick", 0.1), scene.ends(numbered("c", i), Outcome::error);
@@ -238,7 +238,7 @@
 }
 
 TEST_CASE("a restarted gateway knows its list and nothing else") {
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1, 2});
   scene.take("before", "quick", 0.1);
   scene.restart();
@@ -249,7 +249,7 @@
 
 TEST_CASE("a node that refuses at once does not draw all commands as the least loaded") {
   // Seen at a release of servers: refusals in 0.3 ms made the full node the emptiest of all.
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1, 2});
   scene.take("c", "quick", 0.1, "north", 9);
   uint32_t full = scene.at["c"];
@@ -261,7 +261,7 @@
 
 TEST_CASE("a silent node rests while others answer, and comes back by trials") {
   // Two groups overdue: one alone might wait for a load.
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1, 2, 3});
   int round = 0;
   bool silent = true;
@@ -286,7 +286,7 @@
 
 TEST_CASE("a node that fails fast rests; when all fail, none is to blame") {
   for (bool all : {false, true}) {
-    Scene scene(Scene::site());
+    PolicyFixture scene(PolicyFixture::site());
     scene.nodes({1, 2, 3});
     for (int i = 0; i < 60; ++i) {
       auto c = numbered("c", i);
@@ -300,7 +300,7 @@
 
 TEST_CASE("memory is a hard bound of a place") {
   // Starts by chance once overfilled memory, and engines paged.
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1});
   for (int i = 0; i < 5; ++i)
     scene.take(numbered("c", i), "dear", 0.5, "north", 1, {}, 0, 5000);
@@ -309,9 +309,9 @@
 
 TEST_CASE("who would wait for a load keeps off its node") {
   // Most timed-out commands of an incident had stood behind a load of their group.
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.profiles[0].yieldsToBulkLoads = true, site.profiles[2].bulkLoad = true;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1, 2, 3});
   scene.take("load", "load", 2, "north", 5);
   for (int i = 0; i < 9; ++i)
@@ -320,9 +320,9 @@
 }
 
 TEST_CASE("under overload the dearest for their benefit are shed first, and no further send is made") {
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.profiles[1].latencyTarget = 40, site.profiles[1].clientTimeout = 60;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1, 2});
   scene.take("early", "dear", 1);
   for (int i = 0; i < 2; ++i)  // both nodes are full, and get nothing for a while
@@ -339,7 +339,7 @@
 
 TEST_CASE("estimates of memory settle though bills come late and many at once") {
   // Bills were held against the ratio at arrival; with hundreds out it swung up until nothing fitted any more.
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1, 2});
   for (int round = 0; round < 20; ++round) {
     for (int i = 0; i < 200; ++i)
@@ -357,7 +357,7 @@
 
 TEST_CASE("a node that loses most sends rests, though its notes go on") {
   // Seen as 60 to 97% of a node's sends lost for ten seconds: with notes and some answers it never looked silent.
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1, 2, 3});
   for (int i = 0; scene.now < 104; scene.to(scene.now + 0.02), ++i) {
     auto c = numbered("c", i);
@@ -375,7 +375,7 @@
   // Eleven gateways each put a wide command on a node that was empty of their own.
   auto site = patient();
   site.gatewayCount = 11, site.profiles[1].threads = 4;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1});
   int started = 0;
   for (int i = 0; i < 30; ++i) {
@@ -396,9 +396,9 @@
 
 TEST_CASE("sends of one group spread over the fleet where few come to a node") {
   // Hundreds of gateways share a rank, and each saw the first in rank idle: it held five times the mean.
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.gatewayCount = 50;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1, 2, 3, 4, 5, 6, 7, 8});
   for (int i = 0; i < 64; ++i, scene.to(scene.now + 0.25)) {
     scene.take(numbered("c", i), "quick", 0.1);
@@ -413,7 +413,7 @@
   auto site = patient();
   site.gatewayCount = 300, site.probingSupported = true,
   site.memoryShortagePolicy = MemoryShortagePolicy::overcommit;
-  Scene scene(site);
+  PolicyFixture scene(site);
   std::vector<uint32_t> ids;
   for (uint32_t id = 1; id <= 20; ++id)
     ids.push_back(id);
@@ -439,9 +439,9 @@
 TEST_CASE("memory counts over the fleet, what is out now only under pressure") {
   // Many gateways filled engines two to three times; later, on quiet days, two commands looked like a full fleet.
   for (bool pressure : {false, true}) {
-    auto site = Scene::site();
+    auto site = PolicyFixture::site();
     site.gatewayCount = 20;
-    Scene scene(site);
+    PolicyFixture scene(site);
     scene.nodes({1, 2, 3, 4, 5, 6, 7, 8, 9, 10});
     for (int i = 0; pressure && scene.sent.size() < 10; ++i) {
       scene.take(numbered("p", i), "quick", 0.1, "north", i);
@@ -464,7 +464,7 @@
 
 TEST_CASE("where few sends tell, one failure blames a node and one trial clears it") {
   // Each gateway paid for its own three failures at a hung node, seconds apart.
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1, 2, 3, 4, 5, 6});
   for (int i = 0; i < 60; ++i, scene.to(scene.now + 0.3)) {
     scene.take(numbered("c", i), "quick", 0.1, "north", i);
@@ -477,7 +477,7 @@
 
 TEST_CASE("pauses after full refusals double until an answer comes") {
   // Two hundred gateways came back at once every third of a second: a third of all sends were refused.
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1});
   for (int i = 0; i < 100; ++i, scene.to(scene.now + 0.1)) {
     auto c = numbered("c", i);
@@ -493,9 +493,9 @@
 
 TEST_CASE("the best held command is not shed for room") {
   // A gateway of many holds one command or two: it shed the last one though only a place was wanting.
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.gatewayCount = 50;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1});
   scene.take("first", "quick", 0.1);
   scene.ends("first", Outcome::overloaded, 0.001, true);
@@ -508,9 +508,9 @@
 TEST_CASE("nodes are asked how they are where few sends tell, and where it is allowed") {
   // With many gateways the others' load is a guess that uneven traffic makes wrong; a report replaces it.
   for (bool probing : {false, true}) {
-    auto site = Scene::site();
+    auto site = PolicyFixture::site();
     site.gatewayCount = 30, site.probingSupported = probing;
-    Scene scene(site);
+    PolicyFixture scene(site);
     scene.nodes({1, 2, 3, 4});
     for (int i = 0; i < 60; ++i, scene.to(scene.now + 0.2)) {
       scene.take(numbered("c", i), "quick", 0.1, "north", i);
@@ -531,7 +531,7 @@
 }
 
 TEST_CASE("who has gone is forgotten: under its id another starts afresh") {
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1, 2});
   for (int i = 0; i < 8; ++i) {  // node 1 fails until it rests
     scene.take(numbered("c", i), "quick", 0.1, "north", uint64_t(i));
@@ -550,7 +550,7 @@
 }
 
 TEST_CASE("a figure out of all range says nothing of what is usual") {
-  Scene scene(Scene::site());
+  PolicyFixture scene(PolicyFixture::site());
   scene.nodes({1});
   scene.take("usual", "quick", 0.1);
   scene.ends("usual", Outcome::answered, 0.1);
@@ -561,9 +561,9 @@
 }
 
 TEST_CASE("a load whose group is busy on all nodes holds up no load of another group") {
-  auto site = Scene::site();
+  auto site = PolicyFixture::site();
   site.profiles[2].bulkLoad = true;
-  Scene scene(site);
+  PolicyFixture scene(site);
   scene.nodes({1, 2});
   for (int i = 0; i < 4; ++i)
     scene.take(numbered("same", i), "load", 1, "north", 1);
@@ -575,7 +575,7 @@
 
 TEST_CASE("what strikes all alike does not make one node after the other rest") {
   // In a burst with shared slowness each rest made the others late, and four of five nodes rested.
-  Scene scene(patient());
+  PolicyFixture scene(patient());
   scene.nodes({1, 2, 3, 4, 5});
   std::map<uint32_t, double> due;
   int number = 0;
--- a/tests/service.h
+++ b/tests/service.h
@@ -60,20 +60,20 @@
 }
 sockaddr* raw(sockaddr_in& address) { return reinterpret_cast<sockaddr*>(&address); }
 
-class Peer {  // one end of a connection
+class StubConnection {  // one end of a connection
  public:
-  explicit Peer(int fd) : fd_(fd) {
+  explicit StubConnection(int fd) : fd_(fd) {
     timeval limit{kWait / 1000, 0};
     setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
   }
-  Peer(const Peer&) = delete;
-  Peer& operator=(const Peer&) = delete;
-  ~Peer() { close(); }
-  static std::unique_ptr<Peer> to(sockaddr_in address) {
+  StubConnection(const StubConnection&) = delete;
+  StubConnection& operator=(const StubConnection&) = delete;
+  ~StubConnection() { close(); }
+  static std::unique_ptr<StubConnection> to(sockaddr_in address) {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     if (connect(fd, raw(address), sizeof address) == 0)
-      return std::make_unique<Peer>(fd);
+      return std::make_unique<StubConnection>(fd);
     ::close(fd);
     return nullptr;
   }
@@ -154,10 +154,10 @@
   Listener& operator=(const Listener&) = delete;
   ~Listener() { ::close(fd_); }
   int fd() const { return fd_; }
-  std::unique_ptr<Peer> accept() {
+  std::unique_ptr<StubConnection> accept() {
     pollfd ready{fd_, POLLIN, 0};
     REQUIRE_EQ(poll(&ready, 1, kWait), 1);
-    return std::make_unique<Peer>(::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
+    return std::make_unique<StubConnection>(::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
   }
   sockaddr_in address;
 
@@ -165,9 +165,9 @@
   int fd_ = -1, queue_;
 };
 
-struct Line {  // a line from the program to an engine
+struct EngineRequestLine {  // a line from the program to an engine
   int engine = -1;
-  Peer* from = nullptr;
+  StubConnection* from = nullptr;
   std::string verb, id, fields, body;
   void answer(const std::string& word, const std::string& fields_ = "-", const std::string& page = "") const {
     REQUIRE(from);
@@ -176,12 +176,12 @@
   void hit(const std::string& page = "a\tb\tc\n") const { answer("HIT", "fetches=1", page); }
 };
 
-class Engines {  // stand-ins, all served by one poll
+class EngineStubs {  // stand-ins, all served by one poll
  public:
-  explicit Engines(size_t count) : listeners_(count) {}
+  explicit EngineStubs(size_t count) : listeners_(count) {}
   const sockaddr_in& address(size_t i) { return std::next(listeners_.begin(), long(i))->address; }
   // The next line to any of them; a line without a verb if none comes in time.
-  Line next(int wait = kWait) {
+  EngineRequestLine next(int wait = kWait) {
     for (double end = now() + wait / 1e3; now() < end;) {
       for (auto& [engine, peer] : peers_)
         if (peer->in.find("\r\n") != std::string::npos)
@@ -211,9 +211,9 @@
   size_t connections() const { return peers_.size(); }
 
  private:
-  Line read(int engine, Peer& peer) {
+  EngineRequestLine read(int engine, StubConnection& peer) {
     std::istringstream words(peer.until("\r\n"));
-    Line line{engine, &peer, "", "", "", ""};
+    EngineRequestLine line{engine, &peer, "", "", "", ""};
     words >> line.verb >> line.id >> line.fields;
     size_t length = 0;
     if (words >> length) {
@@ -223,11 +223,11 @@
     return line;
   }
   std::list<Listener> listeners_;
-  std::list<std::pair<int, std::unique_ptr<Peer>>> peers_;
+  std::list<std::pair<int, std::unique_ptr<StubConnection>>> peers_;
 };
 
 // Any number of engines that answer whatever is sent to them at once: one listener on all of loopback stands for them.
-class Crowd {
+class EngineStubFarm {
  public:
   struct Sent {
     double at;
@@ -236,7 +236,7 @@
   };
   enum class Way { answers, late, hangs, refuses };  // late: after kLate; refuses: breaks all connections
   static constexpr double kLate = 0.15;
-  Crowd() {
+  EngineStubFarm() {
     sockaddr_in any{};
     any.sin_family = AF_INET;
     socklen_t size = sizeof any;
@@ -246,7 +246,7 @@
     REQUIRE_EQ(listen(listener_, 1000), 0);
     thread_ = std::thread([this] { run(); });
   }
-  ~Crowd() {
+  ~EngineStubFarm() {
     over_ = true;
     thread_.join();
     ::close(listener_);
@@ -283,7 +283,7 @@
  private:
   struct End {
     End(int fd, uint32_t at) : peer(fd), engine(at) {}
-    Peer peer;
+    StubConnection peer;
     uint32_t engine;
     std::list<std::pair<double, std::string>> owed = {};  // answers, and from when on
   };
@@ -366,9 +366,9 @@
   return bytes;
 }
 
-class Service {  // the program, its change log and its configuration
+class GatewayProcess {  // the program, its change log and its configuration
  public:
-  explicit Service(Engines& engines, size_t count, size_t sockets = 1024) : listen(freshHost()) {
+  explicit GatewayProcess(EngineStubs& engines, size_t count, size_t sockets = 1024) : listen(freshHost()) {
     Listener probe;  // a port that is free there, most likely
     listen.sin_port = probe.address.sin_port;
     Json hosts = Json::array();
@@ -410,7 +410,7 @@
            {{"kindCores", {8}}, {"dop", {1, 1, 1}}, {"progressPaceUs", 1000000}, {"ranksHeeded", true}}}}}};
     config["settings"]["classes"][1]["sequential"] = true;
   }
-  ~Service() {
+  ~GatewayProcess() {
     if (pid_ > 0)
       ::kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
     std::filesystem::remove_all(folder_);
@@ -447,7 +447,7 @@
   // Once it answers `GET /check`, as the front does.
   void ready() {
     for (double end = now() + kWait / 1e3; now() < end; pause(0.01))
-      if (auto client = Peer::to(listen)) {
+      if (auto client = StubConnection::to(listen)) {
         client->write("GET /check HTTP/1.1\r\nConnection: close\r\n\r\n");
         REQUIRE(client->until("\r\n").starts_with("HTTP/1.1 200"));
         return;
@@ -497,12 +497,12 @@
         return true;
     return false;
   }
-  std::unique_ptr<Peer> client() {
-    auto made = Peer::to(listen);
+  std::unique_ptr<StubConnection> client() {
+    auto made = StubConnection::to(listen);
     REQUIRE(made);
     return made;
   }
-  std::unique_ptr<Peer> follower() {  // the program, reading the change log
+  std::unique_ptr<StubConnection> follower() {  // the program, reading the change log
     auto peer = changeLog.accept();
     resumed = peer->bytes(8);
     return peer;
@@ -547,7 +547,7 @@
 }
 const std::string kToken = "Req-Token: 5c0f6e1a\r\n", kKey = "Req-Key: 7f3a9c21e0b4d655\r\n";
 
-std::string answer(Peer& client) {  // status and body
+std::string answer(StubConnection& client) {  // status and body
   std::string head = client.until("\r\n\r\n");
   size_t length = head.find("Content-Length: ");
   if (length == std::string::npos)
@@ -557,12 +557,13 @@
 const std::string kServed = R"(200 {"records":[["a","b","c"]]})", kBusy = R"(503 {"problem":"Busy"})",
                   kFailed = R"(500 {"problem":"Failed"})";
 
-struct Stage {  // a program that is ready, with engines
-  explicit Stage(size_t count = 2, size_t sockets = 1024) : engines(count), service(engines, count, sockets) {
+struct ServiceFixture {  // a program that is ready, with engines
+  explicit ServiceFixture(size_t count = 2, size_t sockets = 1024)
+      : engines(count), service(engines, count, sockets) {
     service.start(), service.ready();
   }
-  Engines engines;
-  Service service;
+  EngineStubs engines;
+  GatewayProcess service;
 };
 
 }  // namespace
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -3,19 +3,19 @@
 #include "service.h"
 
 TEST_CASE("a command goes to an engine as it came, and its pages come back as one answer") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto client = stage.service.client();
   std::string statement = "SELECT 'x\r\n' FROM sales_17.t";
   for (char c : post(1, "load", 6000, kToken + kKey, statement))
     client->write({c});
-  Line send = stage.engines.next();
+  EngineRequestLine send = stage.engines.next();
   CHECK_EQ(send.verb + " " + send.id, "GET " + idOf(1));
   CHECK(send.fields.starts_with("cls=load,limit="));
   CHECK(send.fields.ends_with(",nonce=5c0f6e1a,weight=2"));
   CHECK_EQ(send.body, statement);
   send.answer("INFO", "tell=pct,figure=0.4");
   send.answer("HIT", "fetches=3", "a\t\"\t\\\n");
-  Line two = stage.engines.next(), three = stage.engines.next();
+  EngineRequestLine two = stage.engines.next(), three = stage.engines.next();
   CHECK_EQ(two.verb + two.fields + three.verb + three.fields, "PAGE1PAGE2");
   three.answer("PART", "fetch_no=2", "g\th\ti\n");
   two.answer("PART", "fetch_no=1", "");
@@ -23,19 +23,19 @@
   CHECK_EQ(stage.engines.next().verb, "CLOSE");
 
   client->write(post(2));  // both connections are used again
-  Line again = stage.engines.next();
+  EngineRequestLine again = stage.engines.next();
   CHECK_EQ(again.from, send.from);
   again.answer("HIT", "fetches=1", "");
   CHECK_EQ(answer(*client), R"(200 {"records":[]})");
 }
 
 TEST_CASE("an engine that is full: another serves; what can't be in time is shed") {
-  Stage stage;
+  ServiceFixture stage;
   auto client = stage.service.client();
   client->write(post(1));
-  Line full = stage.engines.next();
+  EngineRequestLine full = stage.engines.next();
   full.answer("SHED");
-  Line second = stage.engines.next();
+  EngineRequestLine second = stage.engines.next();
   CHECK_NE(second.engine, full.engine);
   second.hit();
   CHECK_EQ(answer(*client), kServed);
@@ -44,19 +44,19 @@
 }
 
 TEST_CASE("a connection breaks with a send out: a further send only where the profile allows it") {
-  Stage stage;
+  ServiceFixture stage;
   auto client = stage.service.client();
   client->write(post(1));
-  Line first = stage.engines.next();
+  EngineRequestLine first = stage.engines.next();
   first.from->reset();
-  Line second = stage.engines.next();
+  EngineRequestLine second = stage.engines.next();
   CHECK_EQ(second.verb + second.id, "GET" + idOf(1));
   second.from->close();  // an orderly close may have lost the answer as well
   stage.engines.next().hit();
   CHECK_EQ(answer(*client), kServed);
   for (auto& [profile, more] : Pairs{{"load", kToken}, {"once", ""}}) {
     client->write(post(profile == "load" ? 2 : 3, profile, 6000, more));
-    Line only = stage.engines.next();
+    EngineRequestLine only = stage.engines.next();
     pause(0.02);  // the engines remember a repeat for 1 ms
     only.from->reset();
     CHECK_EQ(answer(*client), kFailed);
@@ -65,10 +65,10 @@
 }
 
 TEST_CASE("a page is lost with its engine: the whole result is asked for again") {
-  Stage stage;
+  ServiceFixture stage;
   auto client = stage.service.client();
   client->write(post(1));
-  Line first = stage.engines.next();
+  EngineRequestLine first = stage.engines.next();
   first.answer("HIT", "fetches=2", "x\ty\tz\n");
   CHECK_EQ(stage.engines.next().verb, "PAGE");
   first.from->reset();
@@ -78,8 +78,8 @@
 }
 
 TEST_CASE("an engine whose port is closed has run nothing: any profile goes to another") {
-  Engines engines(2);
-  Service service(engines, 2);
+  EngineStubs engines(2);
+  GatewayProcess service(engines, 2);
   {
     Listener gone;
     service.config["known"]["results"][0]["fleet"]["hosts"][0]["dial"] = textOf(gone.address);
@@ -88,7 +88,7 @@
   auto client = service.client();
   for (int id = 1; id <= 4; ++id) {  // by their groups of tables, some rank the closed one first
     client->write(post(id, "once", 6000, "", "SELECT 1 FROM sales_" + std::to_string(id) + ".t"));
-    Line send = engines.next();
+    EngineRequestLine send = engines.next();
     CHECK_EQ(send.engine, 1);
     send.hit();
     CHECK_EQ(answer(*client), kServed);
@@ -97,14 +97,14 @@
 }
 
 TEST_CASE("a client that closes or sends DELETE is owed nothing, and its pages are not fetched") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto client = stage.service.client();
   client->write(post(1));
-  Line closed = stage.engines.next();
+  EngineRequestLine closed = stage.engines.next();
   client->close();
   auto other = stage.service.client(), third = stage.service.client();
   other->write(post(2));
-  Line deleted = stage.engines.next();
+  EngineRequestLine deleted = stage.engines.next();
   third->write("DELETE /do/quick HTTP/1.1\r\nReq-Id: " + idOf(2) + "\r\n\r\n");
   CHECK_EQ(answer(*third), "200 {}");
   CHECK(other->ended());
@@ -120,43 +120,43 @@
 }
 
 TEST_CASE("where cancels are allowed a withdrawn command is given up at its engine") {
-  Engines engines(1);
-  Service service(engines, 1);
+  EngineStubs engines(1);
+  GatewayProcess service(engines, 1);
   service.config["settings"]["limits"]["cancel"] = true;
   service.start(), service.ready();
   auto client = service.client();
   client->write(post(1));
-  Line send = engines.next();
+  EngineRequestLine send = engines.next();
   client->close();
   CHECK(send.from->ended());
 }
 
 TEST_CASE("commands of one key run one at a time, in the order in which they came") {
-  Stage stage;
+  ServiceFixture stage;
   auto one = stage.service.client(), two = stage.service.client(), three = stage.service.client();
   one->write(post(1, "load", 6000, kToken + kKey));
-  Line first = stage.engines.next();
+  EngineRequestLine first = stage.engines.next();
   two->write(post(2, "load", 6000, kToken + kKey));
   pause(0.06);
   three->write(post(3, "load", 6000, kToken + kKey));
   CHECK_EQ(stage.engines.next(200).verb, "");
   two->close();  // withdrawn while it is held
   first.hit();
-  Line third = stage.engines.next();
+  EngineRequestLine third = stage.engines.next();
   CHECK_EQ(third.id, idOf(3));
   third.hit();
   CHECK_EQ(answer(*one) + answer(*three), kServed + kServed);
 }
 
 TEST_CASE("an engine that drains gets nothing new; one that takes over an old address is another") {
-  Stage stage;
+  ServiceFixture stage;
   auto log = stage.service.follower();
   auto client = stage.service.client();
   log->write(change(2, 1, 1, stage.engines.address(0)));
   pause(0.05);
   for (int id = 1; id <= 5; ++id) {
     client->write(post(id, "quick", 6000, "", "SELECT 1 FROM sales_" + std::to_string(id) + ".t"));
-    Line send = stage.engines.next();
+    EngineRequestLine send = stage.engines.next();
     CHECK_EQ(send.engine, 1);
     send.hit();
     CHECK_EQ(answer(*client), kServed);
@@ -166,7 +166,7 @@
   pause(0.05);
   size_t had = stage.engines.connections();
   client->write(post(6));
-  Line send = stage.engines.next();
+  EngineRequestLine send = stage.engines.next();
   CHECK_EQ(send.engine, 1);
   CHECK_EQ(stage.engines.connections(), had + 1);
   send.hit();
@@ -174,7 +174,7 @@
 }
 
 TEST_CASE("the change log: followed on from the last number after any end, and after silence") {
-  Stage stage;
+  ServiceFixture stage;
   auto log = stage.service.follower();
   CHECK_EQ(stage.service.resumed, big(1, 8));
   log->write(change(2, 1, 1, stage.engines.address(0)));
@@ -194,7 +194,7 @@
 }
 
 TEST_CASE("a change log that tells nothing before it breaks off is asked again, but not without a pause") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   int asked = 0;
   for (double end = now() + 0.5; now() < end; ++asked)
     stage.service.follower()->close();
@@ -204,8 +204,8 @@
 
 TEST_CASE(
     "budgets: users by header, waits told on what is shed, changed by SIGHUP, a bad file changes nothing") {
-  Engines engines(1);
-  Service service(engines, 1);
+  EngineStubs engines(1);
+  GatewayProcess service(engines, 1);
   service.gateway = R"({"budgets": {"actor": "X-User", "tellWaits": true, "nodes": [
     {"name": "acme", "guarantee": {"cores": 4}}, {"name": "acme/shut", "ceiling": {"cores": 0}}]}})";
   service.start(), service.ready();
@@ -230,7 +230,7 @@
   CHECK_EQ(engines.next(100).verb, "");
   service.own(R"({"budgets": {"actor": "X-User", "nodes": [{"name": "acme"}]}})");
   service.kill(SIGHUP);  // the row goes from under the command that is held
-  Line freed = engines.next();
+  EngineRequestLine freed = engines.next();
   CHECK_EQ(freed.id, idOf(4));
   freed.hit();
   CHECK_EQ(answer(*other), kServed);
@@ -241,11 +241,11 @@
 }
 
 TEST_CASE("SIGHUP: a new change log is followed from the last number at once; a bad file changes nothing") {
-  Stage stage;
+  ServiceFixture stage;
   auto log = stage.service.follower();
   auto client = stage.service.client(), idle = stage.service.client();
   client->write(post(1));
-  Line send = stage.engines.next();
+  EngineRequestLine send = stage.engines.next();
   log->write(change(2, 3, 2, stage.engines.address(0)));
   stage.service.configure("{\"listen\":");
   stage.service.kill(SIGHUP);
@@ -265,7 +265,7 @@
   send.hit();
   CHECK_EQ(answer(*client), kServed);
   idle->write(post(2));
-  Line second = stage.engines.next();
+  EngineRequestLine second = stage.engines.next();
   CHECK_EQ(second.engine, 1);
   second.hit();
   CHECK_EQ(answer(*idle), kServed);
@@ -273,11 +273,11 @@
 
 TEST_CASE("a send whose time is up is given up by closing its connection before there is a further one") {
   // DROP alone is never heard by an engine that is cut off: there would be two sends out at once.
-  Stage stage;
+  ServiceFixture stage;
   auto client = stage.service.client(), other = stage.service.client();
   client->write(post(1));
-  Line silent = stage.engines.next();
-  Line further = stage.engines.next();
+  EngineRequestLine silent = stage.engines.next();
+  EngineRequestLine further = stage.engines.next();
   CHECK_EQ(further.verb + further.id, "GET" + idOf(1));
   CHECK_NE(further.engine, silent.engine);
   further.hit();
@@ -286,16 +286,16 @@
 }
 
 TEST_CASE("a send on which the notes that are due do not come is given up; one with notes is not") {
-  Engines engines(2);
-  Service service(engines, 2);
+  EngineStubs engines(2);
+  GatewayProcess service(engines, 2);
   service.config["settings"]["specifics"]["progressPaceUs"] = 100000;
   service.start(), service.ready();
   auto client = service.client(), other = service.client();
   client->write(post(1, "load", 8000, kToken));  // its own time-out is the client's, but for a few seconds
-  Line lost = engines.next();
+  EngineRequestLine lost = engines.next();
   double from = now();
   other->write(post(2, "once", 8000));
-  Line slow = engines.next();
+  EngineRequestLine slow = engines.next();
   for (int i = 0; i < 10; ++i) {
     pause(0.1);
     slow.answer("INFO", "tell=pct,figure=0.4");
@@ -308,16 +308,16 @@
 }
 
 TEST_CASE("the next command of a key waits until the one before is given up for sure") {
-  Stage stage(1, 5);  // descriptors for one connection to the engine, were they to share it
+  ServiceFixture stage(1, 5);  // descriptors for one connection to the engine, were they to share it
   auto other = stage.service.client(), one = stage.service.client(), two = stage.service.client();
   other->write(post(1, "once"));
-  Line shared = stage.engines.next();
+  EngineRequestLine shared = stage.engines.next();
   one->write(post(2, "load", 400, kToken + kKey));
-  Line first = stage.engines.next();
+  EngineRequestLine first = stage.engines.next();
   CHECK_NE(first.from, shared.from);
   two->write(post(3, "load", 6000, kToken + kKey));
   CHECK_EQ(answer(*one), kFailed);
-  Line second = stage.engines.next();
+  EngineRequestLine second = stage.engines.next();
   CHECK_EQ(second.verb + second.id, "GET" + idOf(3));
   CHECK(first.from->ended());
   second.hit();
@@ -327,18 +327,18 @@
 
 TEST_CASE(
     "where sends share a connection, a further one waits until the engine has heard of the first's end") {
-  Stage stage(1, 5);  // descriptors for one connection to the engine
+  ServiceFixture stage(1, 5);  // descriptors for one connection to the engine
   auto client = stage.service.client(), other = stage.service.client();
   client->write(post(1));
-  Line first = stage.engines.next();
+  EngineRequestLine first = stage.engines.next();
   other->write(post(2, "once"));
-  Line second = stage.engines.next();
+  EngineRequestLine second = stage.engines.next();
   CHECK_EQ(second.from, first.from);
-  Line drop = stage.engines.next();
+  EngineRequestLine drop = stage.engines.next();
   CHECK_EQ(drop.verb + drop.id, "DROP" + idOf(1));
   CHECK_EQ(stage.engines.next(300).verb, "");
   first.hit();  // it has crossed our word: nobody is told
-  Line further = stage.engines.next();
+  EngineRequestLine further = stage.engines.next();
   CHECK_EQ(further.verb + further.id, "GET" + idOf(1));
   CHECK_NE(further.from, first.from);
   further.hit("d\te\tf\n");
@@ -348,8 +348,8 @@
 }
 
 TEST_CASE("an engine is asked how it is where few sends tell, and its report is understood") {
-  Engines engines(3);
-  Service service(engines, 3);
+  EngineStubs engines(3);
+  GatewayProcess service(engines, 3);
   service.config["settings"]["limits"]["probing"] = true;
   service.config["settings"]["report"] = {{"how", "on_probe"}, {"fields", {"concurrent", "depth"}}};
   service.start(), service.ready();
@@ -360,12 +360,12 @@
     CHECK_EQ(answer(*client), kServed);
   }
   for (int probes = 0; probes < 2; ++probes) {
-    Line probe = engines.next();
+    EngineRequestLine probe = engines.next();
     CHECK_EQ(probe.verb, "LOAD");
     probe.answer("PONG", "meter=concurrent:2;depth:3");
   }
   client->write(post(9));
-  Line send = engines.next();
+  EngineRequestLine send = engines.next();
   while (send.verb == "LOAD")
     send.answer("SICK"), send = engines.next();
   send.hit();
@@ -375,7 +375,7 @@
 }
 
 TEST_CASE("an engine that talks nonsense loses its connection, and nothing else") {
-  Stage stage;
+  ServiceFixture stage;
   auto client = stage.service.client();
   int id = 0;
   for (auto nonsense :
@@ -383,7 +383,7 @@
         "%s HIT fetches=1 2\r\nab\r\n", "%s PONG - 0\r\n\r\n"}) {
     ++id;
     client->write(post(id, "quick", 6000, "", "SELECT 1 FROM sales_" + std::to_string(id) + ".t"));
-    Line send = stage.engines.next();
+    EngineRequestLine send = stage.engines.next();
     std::string text = nonsense;
     if (text.starts_with("%s"))
       text.replace(0, 2, send.id);
@@ -396,10 +396,10 @@
 }
 
 TEST_CASE("a good answer stays good with a second copy, or one to nothing asked, beside it") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto client = stage.service.client();
   client->write(post(1));
-  Line send = stage.engines.next();
+  EngineRequestLine send = stage.engines.next();
   std::string stray = "ffff HIT fetches=3 6\r\nx\ty\tz\n\r\n",
               first = send.id + " HIT fetches=2 6\r\na\tb\tc\n\r\n",
               page = send.id + " PART fetch_no=1 6\r\nd\te\tf\n\r\n";
@@ -409,7 +409,7 @@
   CHECK_EQ(answer(*client), R"(200 {"records":[["a","b","c"],["d","e","f"]]})");
   CHECK_EQ(stage.engines.next().verb, "CLOSE");
   client->write(post(2));
-  Line again = stage.engines.next();
+  EngineRequestLine again = stage.engines.next();
   CHECK_EQ(again.from, send.from);  // the connection is still good
   again.hit();
   CHECK_EQ(answer(*client), kServed);
@@ -421,13 +421,13 @@
 }
 
 TEST_CASE("an answer that stops short, and a page that never comes, end their connection at once") {
-  Stage stage;
+  ServiceFixture stage;
   auto client = stage.service.client();
   int id = 0;
   for (auto part : {"%s HI", "%s HIT fetches=1 600\r\na\tb", "%s HIT fetches=2 6\r\na\tb\tc\n\r\n"}) {
     ++id;
     client->write(post(id, "quick", 6000, "", "SELECT 1 FROM sales_" + std::to_string(id) + ".t"));
-    Line send = stage.engines.next();
+    EngineRequestLine send = stage.engines.next();
     double from = now();
     std::string text = part;
     send.from->write(text.replace(0, 2, send.id));
@@ -435,7 +435,7 @@
       send.from->in.clear();  // it may ask for a page
     CHECK(send.from->ended());
     CHECK_MESSAGE(now() - from < 0.6, part);  // far sooner than its time-out
-    Line further = stage.engines.next();
+    EngineRequestLine further = stage.engines.next();
     CHECK_EQ(further.id, idOf(id));
     further.hit();
     CHECK_MESSAGE(answer(*client) == kServed, part);
@@ -446,7 +446,7 @@
 TEST_CASE(
     "who says nothing is closed within 3 s, half a request is answered 408 first; who has asked may idle "
     "longer") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto asked = stage.service.client(), silent = stage.service.client(), half = stage.service.client(),
        body = stage.service.client(), noise = stage.service.client();
   asked->write("GET /check HTTP/1.1\r\n\r\n");
@@ -469,8 +469,8 @@
 }
 
 TEST_CASE("a flood of clients leaves room for usual ones, and the engines theirs") {
-  Stage stage(1, 96);  // 48 of them for clients
-  std::list<std::unique_ptr<Peer>> flood;
+  ServiceFixture stage(1, 96);  // 48 of them for clients
+  std::list<std::unique_ptr<StubConnection>> flood;
   for (int i = 0; i < 200; ++i)
     flood.push_back(stage.service.client());
   auto client = stage.service.client();
@@ -486,7 +486,7 @@
 
   // All of them with a command in hand: who comes then is turned away, and may try again.
   flood.clear();
-  std::list<Line> sends;
+  std::list<EngineRequestLine> sends;
   for (int i = 0; i < 48; ++i) {
     flood.push_back(stage.service.client());
     flood.back()->write(post(100 + i, "once"));
@@ -499,7 +499,7 @@
 }
 
 TEST_CASE("a body beyond all measure is refused from its head, and what comes of it is not kept") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto client = stage.service.client(), other = stage.service.client();
   client->write("POST /do/quick HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
   CHECK_EQ(answer(*client).substr(0, 3), "413");
@@ -521,10 +521,10 @@
 }
 
 TEST_CASE("an id stays taken until nothing of it is out") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto client = stage.service.client(), other = stage.service.client();
   client->write(post(1));
-  Line send = stage.engines.next();
+  EngineRequestLine send = stage.engines.next();
   client->close();
   pause(0.05);
   other->write(post(1));
@@ -537,10 +537,10 @@
 }
 
 TEST_CASE("bad input from a client is answered 4xx and harms nobody else") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto good = stage.service.client();
   good->write(post(1));
-  Line send = stage.engines.next();
+  EngineRequestLine send = stage.engines.next();
   auto client = stage.service.client();
   for (auto& [text, status] : Pairs{{post(2, "odd"), "404"},
                                     {post(1), "409"},
@@ -563,10 +563,10 @@
 }
 
 TEST_CASE("SIGTERM: what is held, running and still coming is answered; then it ends with 0") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto running = stage.service.client(), held = stage.service.client(), open = stage.service.client();
   running->write(post(1, "load", 6000, kToken + kKey));
-  Line first = stage.engines.next();
+  EngineRequestLine first = stage.engines.next();
   held->write(post(2, "load", 6000, kToken + kKey));
   pause(0.05);
   stage.service.kill(SIGTERM);
@@ -588,10 +588,10 @@
 }
 
 TEST_CASE("after a stall, what came in time counts, and commands of one key keep their order") {
-  Stage stage(2);
+  ServiceFixture stage(2);
   auto client = stage.service.client(), open = stage.service.client();
   client->write(post(1));
-  Line send = stage.engines.next();
+  EngineRequestLine send = stage.engines.next();
   open->write("GET /check HTTP/1.1\r\n\r\n");
   CHECK_EQ(answer(*open), "200 {}");
   stage.service.kill(SIGSTOP);
@@ -606,7 +606,7 @@
   stage.service.kill(SIGCONT);
   CHECK_EQ(answer(*client), kServed);
   for (int id : {2, 3}) {
-    Line next = stage.engines.next();
+    EngineRequestLine next = stage.engines.next();
     CHECK_EQ(next.verb + next.id, "GET" + idOf(id));
     next.hit();
   }
@@ -614,7 +614,7 @@
 }
 
 TEST_CASE("after SIGKILL it starts again under the same address") {
-  Stage stage(1);
+  ServiceFixture stage(1);
   auto client = stage.service.client();
   client->write(post(1));
   stage.engines.next();
@@ -629,13 +629,13 @@
 }
 
 TEST_CASE("out of descriptors it makes room by closing what is idle, and goes on") {
-  Engines engines(1);
-  Service service(engines, 1);
+  EngineStubs engines(1);
+  GatewayProcess service(engines, 1);
   service.start(16), service.ready();
   auto busy = service.client();
   busy->write(post(1));
-  Line send = engines.next();
-  std::list<std::unique_ptr<Peer>> idle;
+  EngineRequestLine send = engines.next();
+  std::list<std::unique_ptr<StubConnection>> idle;
   for (int i = 0; i < 40; ++i)
     idle.push_back(service.client());
   auto client = service.client();
@@ -660,9 +660,9 @@
 }
 
 TEST_CASE("a list of 1,100 engines under 256 descriptors: all is served, and it never runs out") {
-  Crowd crowd;
-  Engines none(0);
-  Service service(none, 0, 256);
+  EngineStubFarm crowd;
+  EngineStubs none(0);
+  GatewayProcess service(none, 0, 256);
   Json hosts = Json::array();
   char id[16], at[32];
   for (int i = 0; i < 1100; ++i) {
@@ -681,7 +681,7 @@
   int served = 0, number = 0;
   long most = 0;
   for (int round = 0; round < 30; ++round) {  // a third of the descriptors, as clients may hold
-    std::list<std::unique_ptr<Peer>> clients;
+    std::list<std::unique_ptr<StubConnection>> clients;
     for (int i = 0; i < 80; ++i) {
       clients.push_back(service.client());
       std::string table = "SELECT 1 FROM sales_" + std::to_string(number) + ".t";  // spreads over the engines
@@ -699,8 +699,8 @@
 }
 
 TEST_CASE("settings that name 1,024 gateways: the last of them serves from its first command") {
-  Engines engines(2);
-  Service service(engines, 2);
+  EngineStubs engines(2);
+  GatewayProcess service(engines, 2);
   service.config["settings"]["balancers"] = 1024, service.config["settings"]["ordinal"] = 1023;
   service.start(), service.ready();
   auto client = service.client();
@@ -712,15 +712,15 @@
 }
 
 TEST_CASE("members are off unless asked for, and not without the platform's leave") {
-  Engines engines(1);
-  Service service(engines, 1);
+  EngineStubs engines(1);
+  GatewayProcess service(engines, 1);
   service.start(), service.ready();
   CHECK_EQ(service.threads().size(), 1);
   long open = service.descriptors();
   service.kill(SIGTERM);
   CHECK_EQ(service.status(), 0);
 
-  Service forbidden(engines, 1);
+  GatewayProcess forbidden(engines, 1);
   sockaddr_in own = Listener().address;
   forbidden.gateway =
       Json{{"members", {{"fleet", "f"}, {"peers", {{{"name", "n3"}, {"at", textOf(own)}}}}}}}.dump();
@@ -744,8 +744,8 @@
 }
 
 TEST_CASE("a log that nobody reads does not hold it up") {
-  Engines engines(1);
-  Service service(engines, 1);
+  EngineStubs engines(1);
+  GatewayProcess service(engines, 1);
   int ends[2];
   REQUIRE_EQ(pipe2(ends, O_CLOEXEC), 0);
   service.start(0, ends[1]), service.ready();
@@ -761,8 +761,8 @@
 }
 
 TEST_CASE("a configuration that can't be used: one line that names the key, before anything listens") {
-  Engines engines(1);
-  Service service(engines, 1);
+  EngineStubs engines(1);
+  GatewayProcess service(engines, 1);
   service.config.erase("known");
   service.start();
   CHECK_EQ(service.status(), 1);
