--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -4,13 +4,13 @@
 
 #include <cstdlib>
 
-#include "lab/lending.h"
+#include "lab/lease_simulation.h"
 #include "seeds.h"
 #include "shared/lease_codec.h"
 
 using namespace elmcleat;
 using namespace elmcleat::shared;
-using lab::Lending;
+using lab::LeaseSimulation;
 
 namespace {
 
@@ -29,64 +29,64 @@
 }  // namespace
 
 TEST_CASE("what moves to a tenth of the members is usable there within 2 s, and again by all later") {
-  Lending fleet(terms(100, {100, 30}), 3);
+  LeaseSimulation fleet(terms(100, {100, 30}), 3);
   for (int i = 0; i < 100; ++i)
-    fleet.want(i, 0, 0.9), fleet.want(i, 1, 0.2);
+    fleet.setDemand(i, 0, 0.9), fleet.setDemand(i, 1, 0.2);
   fleet.run(10);
   CHECK_GT(fleet.used(0), 89.9);
   for (int i = 0; i < 100; ++i)
-    fleet.want(i, 0, i < 10 ? 20 : 0), fleet.want(i, 1, i >= 90 ? 6 : 0);
+    fleet.setDemand(i, 0, i < 10 ? 20 : 0), fleet.setDemand(i, 1, i >= 90 ? 6 : 0);
   fleet.run(12);
   CHECK_GT(fleet.used(0), 97);  // all but what the others keep
   CHECK_GT(fleet.used(1), 0.97 * 30);
   for (int i = 0; i < 100; ++i)
-    fleet.want(i, 0, 0.9);
+    fleet.setDemand(i, 0, 0.9);
   fleet.run(12 + kOver + 0.5);
   CHECK_GT(fleet.used(0), 88);
-  CHECK_EQ(fleet.broken(), "");
+  CHECK_EQ(fleet.violation(), "");
 }
 
 TEST_CASE("with a third cut off the rest uses its own parts; those apart use theirs") {
-  Lending fleet(terms(90), 5);
+  LeaseSimulation fleet(terms(90), 5);
   fleet.run(5);
-  fleet.part(0, 30, true);
+  fleet.partition(0, 30, true);
   for (int i = 0; i < 90; ++i)
-    fleet.want(i, 0, i >= 30 && i < 39 ? 20 : 0);
+    fleet.setDemand(i, 0, i >= 30 && i < 39 ? 20 : 0);
   fleet.run(8 + kOver);
   CHECK_GT(fleet.used(0), 60);
-  CHECK_EQ(fleet.broken(), "");
+  CHECK_EQ(fleet.violation(), "");
 }
 
 TEST_CASE("a borrower that was stopped past the end of its loan has not one unit of it when it goes on") {
-  Lending fleet(terms(4), 7);
-  fleet.want(0, 0, 90);
+  LeaseSimulation fleet(terms(4), 7);
+  fleet.setDemand(0, 0, 90);
   fleet.run(6);
-  REQUIRE_GT(fleet.usable(0, 0), 90);
+  REQUIRE_GT(fleet.available(0, 0), 90);
   fleet.pause(0, true);
   fleet.run(6 + kOver);
-  CHECK_LE(fleet.usable(0, 0), 25);  // by its own clock, before it has done anything
+  CHECK_LE(fleet.available(0, 0), 25);  // by its own clock, before it has done anything
   fleet.pause(0, false);
-  CHECK_LE(fleet.usable(0, 0), 25);
+  CHECK_LE(fleet.available(0, 0), 25);
   fleet.run(12);
-  CHECK_GT(fleet.usable(0, 0), 90);
-  CHECK_EQ(fleet.broken(), "");
+  CHECK_GT(fleet.available(0, 0), 90);
+  CHECK_EQ(fleet.violation(), "");
 }
 
 TEST_CASE("a lender that starts anew uses what it keeps alone until what it may have lent is over") {
-  Lending fleet(terms(4), 9);
-  fleet.want(0, 0, 90);
+  LeaseSimulation fleet(terms(4), 9);
+  fleet.setDemand(0, 0, 90);
   fleet.run(6);
   for (int i = 1; i < 4; ++i) {
     fleet.kill(i), fleet.start(i);
-    fleet.want(i, 0, 25);
-    CHECK_LE(fleet.usable(i, 0), 25 * 0.02 + 1e-9);
+    fleet.setDemand(i, 0, 25);
+    CHECK_LE(fleet.available(i, 0), 25 * 0.02 + 1e-9);
   }
   fleet.run(6.5);
-  CHECK_GT(fleet.usable(0, 0), 70);  // its loans hold for now, though nobody remembers them
+  CHECK_GT(fleet.available(0, 0), 70);  // its loans hold for now, though nobody remembers them
   fleet.run(6 + kOver + 1);
   for (int i = 1; i < 4; ++i)
-    CHECK_GT(fleet.usable(i, 0), 24);
-  CHECK_EQ(fleet.broken(), "");
+    CHECK_GT(fleet.available(i, 0), 24);
+  CHECK_EQ(fleet.violation(), "");
 }
 
 TEST_CASE("letters of an earlier life, copies, late answers and nonsense move nothing") {
@@ -150,9 +150,9 @@
     CAPTURE(seed);
     Pcg32 chance{uint64_t(seed)};
     int count = 2 + int(chance.next() % 24);
-    Lending fleet(terms(count, {100, 7}), uint64_t(seed), 0.02);
-    fleet.loss = chance.uniformBetween(0, 0.3), fleet.copies = chance.uniformBetween(0, 0.3);
-    fleet.lateShare = chance.uniformBetween(0, 0.5), fleet.late = chance.uniformBetween(0, 6);
+    LeaseSimulation fleet(terms(count, {100, 7}), uint64_t(seed), 0.02);
+    fleet.loss = chance.uniformBetween(0, 0.3), fleet.duplication = chance.uniformBetween(0, 0.3);
+    fleet.lateShare = chance.uniformBetween(0, 0.5), fleet.lateDelay = chance.uniformBetween(0, 6);
     auto any = [&] { return int(chance.next() % uint32_t(count)); };
     for (int step = 0; step < 60; ++step) {
       fleet.run(fleet.now() + chance.uniformBetween(0.01, 1));
@@ -171,22 +171,22 @@
           fleet.cut(who, any(), chance.next() % 2);
           break;
         default:
-          fleet.want(who, chance.next() % 2, chance.next() % 3 ? chance.uniformBetween(0, 60) : 0);
+          fleet.setDemand(who, chance.next() % 2, chance.next() % 3 ? chance.uniformBetween(0, 60) : 0);
       }
     }
-    REQUIRE_EQ(fleet.broken(), "");
+    REQUIRE_EQ(fleet.violation(), "");
     for (int a = 0; a < count; ++a) {
       fleet.pause(a, false);
-      if (!fleet.runs(a))
+      if (!fleet.isRunning(a))
         fleet.start(a);
-      fleet.want(a, 0, a ? 0 : 200), fleet.want(a, 1, a ? 0 : 200);
+      fleet.setDemand(a, 0, a ? 0 : 200), fleet.setDemand(a, 1, a ? 0 : 200);
       for (int b = 0; b < count; ++b)
         fleet.cut(a, b, false);
     }
-    fleet.loss = fleet.copies = fleet.lateShare = 0;
+    fleet.loss = fleet.duplication = fleet.lateShare = 0;
     fleet.run(fleet.now() + 2 * kOver + 6);
     CHECK_GT(fleet.used(0), 96);
     CHECK_GT(fleet.used(1), 0.96 * 7);
-    REQUIRE_EQ(fleet.broken(), "");
+    REQUIRE_EQ(fleet.violation(), "");
   }
 }
--- a/tests/view_scene.h
+++ b/tests/subset_fixture.h
@@ -56,11 +56,11 @@
   return int(std::ranges::find(order, ordinal, &std::pair<uint64_t, int>::second) - order.begin());
 }
 
-struct Dispatcher {
+struct SubsetHarness {
   EngineSubset view;
   std::map<uint32_t, ListedEngine> engines = {};  // in view, as told
   uint64_t told = 0;
-  Dispatcher(const SubsetSettings& plan, int dispatchers, int ordinal)
+  SubsetHarness(const SubsetSettings& plan, int dispatchers, int ordinal)
       : view(plan, settingsOf(dispatchers, ordinal)) {}
 
   void take(const std::vector<ListedEngine>& changes) {
@@ -147,7 +147,7 @@
     return usable;
   }
   // `settled`: long ago, so nothing is in view that isn't needed.
-  std::string broken(const Dispatcher& is, double now, bool settled = false) {
+  std::string broken(const SubsetHarness& is, double now, bool settled = false) {
     for (auto& [id, one] : list) {
       bool in = is.engines.contains(id), draining = one.record.state == kDraining;
       int place = placeOf(id);
--- a/tests/view_cases_test.cpp
+++ b/tests/view_cases_test.cpp
@@ -3,7 +3,7 @@
 
 #include <functional>
 
-#include "view_scene.h"
+#include "subset_fixture.h"
 
 using namespace scene;
 
@@ -12,7 +12,7 @@
   auto rows = enginesOf(kEngines);
   int lost = 0, most = 0, gained = 0;
   for (int i = 0; i < kDispatchers; ++i) {
-    Dispatcher before(planOf(kUsers, 24, 4), kDispatchers, i),
+    SubsetHarness before(planOf(kUsers, 24, 4), kDispatchers, i),
         after(planOf(kUsers, 24, 4), kDispatchers + 1, i);
     before.whole(rows), after.whole(rows);
     int here = 0;
@@ -34,7 +34,7 @@
     "need") {
   constexpr int kDispatchers = 100, kUsers = 10, kEngines = 2000;
   SubsetSettings plan{kUsers, 50, 4, 0.5, 30};
-  Dispatcher one(plan, kDispatchers, 7);
+  SubsetHarness one(plan, kDispatchers, 7);
   Model model{plan, kDispatchers, 7};
   for (auto& row : enginesOf(kEngines))
     model.list[row.record.id] = row;
@@ -66,7 +66,7 @@
 TEST_CASE("a class that loses its zone finds what is left of it, far beyond the usual bound; others stay") {
   constexpr int kDispatchers = 200;
   SubsetSettings plan{10, 20, 6, 0.5, 30};
-  Dispatcher one(plan, kDispatchers, 3);
+  SubsetHarness one(plan, kDispatchers, 3);
   one.whole(enginesOf(1600));  // 400 east
   size_t others =
       std::ranges::count_if(one.engines, [](auto& told) { return told.second.record.zone == "w"; });
@@ -96,7 +96,7 @@
     rows.push_back(engineOf(id, true, true, int64_t(kBegin * 1000)));
   int users = 0, none = 0;
   for (int i = 0; i < 100; ++i) {
-    Dispatcher one(plan, 100, i);
+    SubsetHarness one(plan, 100, i);
     one.whole(rows);
     users += int(one.engines.size());
     auto lines = one.view.takeWarnings();
@@ -127,7 +127,7 @@
 
 TEST_CASE("what was found unfit stays while its class is short, and is forgotten by a restart") {
   SubsetSettings plan{2, 40, 4, 0.5, 5};
-  Dispatcher one(plan, 40, 0);
+  SubsetHarness one(plan, 40, 0);
   std::vector<ListedEngine> rows;
   for (uint32_t id = 1; id <= 10; ++id)
     rows.push_back(engineOf(id, true, false));
@@ -161,7 +161,7 @@
 
 TEST_CASE("what was found unfit is forgotten when it leaves the view") {
   SubsetSettings plan{2, 40, 4, 0.5, 5};
-  Dispatcher one(plan, 40, 0);
+  SubsetHarness one(plan, 40, 0);
   Model model{plan, 40, 0};
   for (auto& row : enginesOf(40))
     model.put(row);
@@ -180,7 +180,7 @@
 
 TEST_CASE("who is in view because it is wide drains as others do; a clock set back puts nothing off") {
   SubsetSettings plan{1, 40, 4, 0.5, 5};
-  Dispatcher one(plan, 40, 0);
+  SubsetHarness one(plan, 40, 0);
   one.whole(enginesOf(40));
   auto wide = std::ranges::find_if(one.engines, [](auto& told) { return !told.second.record.rank; });
   REQUIRE(wide != one.engines.end());
@@ -200,7 +200,7 @@
 
 TEST_CASE("work grows with what changes, not with the list") {
   for (uint32_t engines : {1000u, 4000u}) {
-    Dispatcher one(planOf(8, 32, 8), 400, 5);
+    SubsetHarness one(planOf(8, 32, 8), 400, 5);
     auto rows = enginesOf(engines);
     one.whole(rows);
     CHECK_EQ(one.view.statistics().ranksComputed, engines);
@@ -226,7 +226,7 @@
 }
 
 TEST_CASE("a list that began short, or was lost, leaves nothing behind when it has grown") {
-  Dispatcher one(planOf(8, 32, 8), 400, 5);
+  SubsetHarness one(planOf(8, 32, 8), 400, 5);
   Model model{planOf(8, 32, 8), 400, 5};
   for (auto& row : enginesOf(4000))
     model.put(row);
--- a/tests/view_cold_test.cpp
+++ b/tests/view_cold_test.cpp
@@ -11,9 +11,9 @@
 #include <map>
 #include <queue>
 
+#include "null_action_sink.h"
 #include "pcg32.h"
 #include "policy.h"
-#include "quiet_outlet.h"
 #include "seeds.h"
 #include "view/engine_subset.h"
 #include "view/rendezvous_rank.h"
@@ -63,7 +63,7 @@
   std::vector<Landed> landed = {};  // of those who had been told
 };
 
-struct Dispatcher final : QuietOutlet {
+struct Dispatcher final : NullActionSink {
   Dispatcher(int ordinal, int of, uint64_t chance, double skew, ColdEngine& engine)
       : number(ordinal), dispatchers(of), seed(chance), off(skew), cold(engine) {}
 
--- a/tests/view_test.cpp
+++ b/tests/view_test.cpp
@@ -2,7 +2,7 @@
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
-#include "view_scene.h"
+#include "subset_fixture.h"
 
 using namespace scene;
 
@@ -56,7 +56,7 @@
     std::map<uint32_t, int> all;
     int bound = 0;
     for (int i = 0; i < dispatchers; ++i) {
-      Dispatcher one(plan, dispatchers, i);
+      SubsetHarness one(plan, dispatchers, i);
       Model model{plan, dispatchers, i};
       auto known = *rc::gen::container<std::vector<bool>>(
           ids.size(), rc::gen::weightedElement<bool>({{4, true}, {1, false}}));
@@ -97,7 +97,7 @@
     SubsetSettings plan = planOf(users, users + *rc::gen::inRange(0, 12), *rc::gen::inRange(1, 6),
                                  *rc::gen::element(0.0, 0.5, 1.0));
     int ordinal = *rc::gen::inRange(0, dispatchers);
-    Dispatcher one(plan, dispatchers, ordinal);
+    SubsetHarness one(plan, dispatchers, ordinal);
     Model model{plan, dispatchers, ordinal};
     double now = kBegin;
     auto sound = [&](double at) {
@@ -169,7 +169,7 @@
       one.view.setEjected(id, false);
     model.unfit.clear();
     one.until(now + 1000, sound);
-    Dispatcher anew(plan, dispatchers, ordinal);
+    SubsetHarness anew(plan, dispatchers, ordinal);
     std::vector<ListedEngine> rows;
     for (auto& [id, row] : model.list)
       rows.push_back(row);
@@ -185,7 +185,7 @@
     constexpr int kDispatchers = 20;
     auto id = *rc::gen::inRange<uint32_t>(1, 600);
     auto rows = enginesOf(400);
-    std::vector<Dispatcher> all;
+    std::vector<SubsetHarness> all;
     for (int i = 0; i < kDispatchers; ++i)
       all.emplace_back(planOf(8, 16, 4), kDispatchers, i), all[i].whole(rows);
     ListedEngine row = engineOf(id, false, false);
