--- a/src/policy.h
+++ b/src/policy.h
@@ -1,9 +1,13 @@
-// The interface of the decision module (src/policy.cpp): what it is told and what it may do.
+// Interface of the decision module (src/policy.cpp), which chooses an engine for each command and decides on
+// retries and load shedding. The types here carry facts and actions; they decide nothing.
 //
-// Whoever hosts the module creates one Policy a process, tells it the time with advanceTo() before anything else that
-// happens then, tells it what happens, and calls decide() when all that happened at that time has been told.
-// submit() gives a handle; all that happens to a command later is a call on its handle. The module acts through
-// the ActionSink. Times are seconds; no type here decides anything.
+// The host creates one Policy per process and calls it from one thread. At each event it calls advanceTo()
+// with the current time, reports what happened, and calls decide() once everything that happened at that time
+// has been reported. submit() returns a handle, and later events of the command are calls on that handle. The
+// module acts through the ActionSink.
+//
+// Units: times and durations are seconds, on one clock whose origin is the host's choice; work is
+// core-seconds; memory is MB; shares lie between 0 and 1.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -13,141 +17,243 @@
 
 namespace elmcleat {
 
-enum class RetrySafety { replayable, deduplicated, nonReplayable };
+// What a repeated execution of a command does.
+enum class RetrySafety {
+  replayable,     // no harm: it may be sent again at any time
+  deduplicated,   // the engine recognises a repeat within the deduplication window and scope
+  nonReplayable,  // a second effect: it must not be sent again once it may have run
+};
+// The engines that recognise a repeat of a deduplicated command: all, or those of the zone or cell of the
+// first send.
 enum class DeduplicationScope { all, zone, cell };
+// What happens when a command's memory estimate exceeds what an engine has left.
 enum class MemoryShortagePolicy { queue, reduceGrant, overcommit };
-enum class Outcome { answered, error, overloaded, timedOut, connectFailed, reset, cancelled, notStarted };
+// How a send ended.
+enum class Outcome {
+  answered,       // the engine gave its answer
+  error,          // the engine reported an error
+  overloaded,     // the engine refused the send without running it
+  timedOut,       // no answer within the time-out; the engine may still run it
+  connectFailed,  // no connection to the engine: it didn't run
+  reset,          // the connection broke: it may have run
+  cancelled,      // cancelled at the module's request
+  notStarted,     // the host never passed it to the engine
+};
 enum class EngineState { inService, draining, removed };
+// How a list of engines is to be read: complete, changes only, or the list could not be read.
 enum class EngineListKind { full, delta, error };
+// What an engine reports about a running send.
 enum class StatusTopic { progress, spilling, queued };
 
+// A class of commands with the same objectives and placement.
 struct Profile {
   std::string name;
   RetrySafety retrySafety = RetrySafety::replayable;
   DeduplicationScope deduplicationScope = DeduplicationScope::all;
-  double deduplicationWindow = 0;  // how long a repeat of a uniqued command is known
-  double latencyTarget = 0, latencyTargetStretch = 0, clientTimeout = 0;
-  double benefit = 0, lateBenefitShare = 0;  // what an answer is worth, and the part of it when late
-  bool ordered = false, bulkLoad = false, yieldsToBulkLoads = false;
-  int threads = 1;
-  std::vector<std::string> allowedZones, allowedKinds;  // empty: any
+  double deduplicationWindow =
+      0;  // seconds for which engines recognise a repeat, from the first send that may have run
+  // The latency target is latencyTarget + latencyTargetStretch x work / threads.
+  double latencyTarget = 0;         // seconds
+  double latencyTargetStretch = 0;  // multiple of the run time
+  double clientTimeout = 0;         // seconds until the client gives up
+  double benefit = 0;               // value of an answer within the latency target, on any scale
+  double lateBenefitShare = 0;      // share of the benefit that a later answer still has
+  bool ordered = false;             // commands of one ordering key run one at a time, in order of arrival
+  bool bulkLoad = false;            // loads its table group, which blocks yieldsToBulkLoads commands there
+  bool yieldsToBulkLoads = false;   // waits at an engine while a bulk load of its table group runs there
+  int threads = 1;                  // threads that a command runs on
+  std::vector<std::string> allowedZones;  // empty: any
+  std::vector<std::string> allowedKinds;  // empty: any
 };
 struct Tenant {
   std::string name;
-  double share = 1, quota = 0;  // quota: commands a second of all gateways within the share; 0: none
+  double share = 1;  // share of the service when all tenants have commands waiting
+  double quota = 0;  // commands a second within the share, over all gateways; 0: none
 };
 struct EngineKind {
   std::string name;
-  double cores = 1, memoryMb = 0;
+  double cores = 1;
+  double memoryMb = 0;  // 0: unknown, memory is not limited
 };
 struct Settings {
-  int gatewayCount = 1, ordinal = -1;  // the latter: which of them this is, from 0; below 0: not told
-  std::string zone;
+  int gatewayCount = 1;
+  int ordinal = -1;  // index of this gateway among all, from 0; negative: unknown
+  std::string zone;  // zone of this gateway
   std::vector<Profile> profiles;
   std::vector<Tenant> tenants;
   std::vector<EngineKind> engineKinds;
-  double overShareBenefitFactor = 1, crossZoneCost = 0;
-  double drainGracePeriod = 0, coldCapacity = 1, coldDuration = 0, coldOverloadFactor = 1,
-         coldOverloadWindow = 0;
-  double keyQuietPeriod = 0;
-  double retryBudgetWindow = 0, retryBudgetMinimum = 0,
-         retryBudgetRatio = 0;  // budget of further sends; span 0: none
-  int maxSends = 1;
-  bool cancelSupported = false, probingSupported = false, retryAfterSupported = false,
-       memoryGrantsSupported = false, prioritiesSupported = false;
-  bool engineListOnRequest = false;
-  double maxRetryAfter = 0, maxMemoryGrantShare = 1;
+  double overShareBenefitFactor =
+      1;                        // what the benefit beyond a tenant's share counts; not used by the module
+  double crossZoneCost = 0;     // above 0: engines of the gateway's own zone are preferred
+  double drainGracePeriod = 0;  // seconds; not used by the module, which stops new sends at once
+
+  // Cold engines (rule 4). An engine's capacity rises linearly from coldCapacity to 1 over coldDuration. A
+  // gateway fleet that sends it more than coldOverloadFactor x coldCapacity x cores of work per second, over
+  // coldOverloadWindow, overloads it.
+  double coldCapacity = 1;        // share of the cores that are usable at its start
+  double coldDuration = 0;        // seconds
+  double coldOverloadFactor = 1;  // multiple of the cold capacity
+  double coldOverloadWindow = 0;  // seconds
+
+  double keyQuietPeriod = 0;  // seconds for which an ordering key waits after a send whose end is uncertain
+
+  // Retry budget (rule 7): sends after a command's first one, within each window, number at most
+  // retryBudgetMinimum + retryBudgetRatio x commands submitted.
+  double retryBudgetWindow = 0;   // seconds; 0: unlimited
+  double retryBudgetMinimum = 0;  // sends
+  double retryBudgetRatio = 0;    // sends a command
+  int maxSends = 1;               // sends of one command, the first included
+
+  // What the engines and the host support.
+  bool cancelSupported = false;
+  bool probingSupported = false;
+  bool retryAfterSupported = false;
+  bool memoryGrantsSupported = false;
+  bool prioritiesSupported = false;
+  bool engineListOnRequest = false;  // changes come only after ActionSink::requestEngineList()
+  double maxRetryAfter = 0;          // seconds
+  double maxMemoryGrantShare = 1;    // share of an engine's memory that one grant may have
   MemoryShortagePolicy memoryShortagePolicy = MemoryShortagePolicy::queue;
 };
 
-// A load report: what an engine says of itself; absent figures were not reported.
+// An engine's load as it reports it; a figure that it did not report is absent.
 struct LoadReport {
-  std::optional<double> inFlight, queued, utilisation, memoryGranted, diskUtilisation;
+  std::optional<double> inFlight;         // commands of all gateways that it has accepted
+  std::optional<double> queued;           // commands of these that don't run yet
+  std::optional<double> utilisation;      // share of its cores
+  std::optional<double> memoryGranted;    // not used by the module
+  std::optional<double> diskUtilisation;  // share of its disk throughput
 };
+// What a command used, as the engine accounts for it.
 struct ResourceUsage {
-  double work = 0, memoryMb = 0;  // what a command needed
+  double work = 0;  // core-seconds; 0: unknown
+  double memoryMb = 0;
 };
+// One row of the engine list.
 struct EngineRecord {
   uint32_t id = 0;
-  std::string zone, kind;
-  int cell = 0;
+  std::string zone;
+  std::string kind;  // name of an EngineKind
+  int cell = 0;      // engines of one cell share deduplication state
   EngineState state = EngineState::inService;
-  std::optional<double> startedAt;
-  std::optional<int> rank = {};  // of this gateway among those that use it; none: its ordinal among all
+  std::optional<double> startedAt;  // seconds; absent: it counts as warm
+  std::optional<int> rank = {};  // of this gateway among those that use the engine; absent: Settings::ordinal
 };
+// A command as it arrives at the gateway.
 struct Arrival {
-  std::string profile, tenant;
-  uint64_t tableGroup = 0;  // its group of tables
-  std::optional<uint64_t> orderingKey;
-  double estimatedWork = 0, estimatedMemoryMb = 0;  // estimates; 0: none
-  double remainingTime = 0;                         // until the client gives up
-  std::vector<std::string> users = {};              // below the tenant, where budgets are set
+  std::string profile;
+  std::string tenant;
+  uint64_t tableGroup = 0;              // identifies the tables that it reads or loads
+  std::optional<uint64_t> orderingKey;  // used where the profile is ordered
+  double estimatedWork = 0;             // core-seconds; 0: no estimate
+  double estimatedMemoryMb = 0;         // 0: no estimate
+  double remainingTime = 0;             // seconds until the client gives up
+  std::vector<std::string> users = {};  // path below the tenant, where budgets are set
 };
 
-class Command {  // the handle
+// Handle of a submitted command, through which the host reports what happens to it.
+class Command {
  public:
   virtual ~Command() = default;
-  virtual void streamingStarted() = 0;  // a streamed answer has begun
+  // Part of a streamed answer has been passed to the client: the command can't be sent again.
+  virtual void streamingStarted() = 0;
+  // An engine's status message for the running send.
   virtual void statusReported(StatusTopic topic, double level) = 0;
-  virtual void sendFinished(Outcome what, double took, bool final, const ResourceUsage* usage,
+  // The send that is out has ended. `took`: seconds since the send. `final`: the client has its final answer,
+  // so the module takes no further action. `usage` and `report` may be null.
+  virtual void sendFinished(Outcome outcome, double took, bool final, const ResourceUsage* usage,
                             const LoadReport* report) = 0;
+  // The client has withdrawn the command: no answer is expected. A running send still ends with
+  // sendFinished().
   virtual void withdrawn() = 0;
-  virtual void shortenDeadline(double at) = 0;  // the host shuts down: no answer can be given after that
+  // No answer can be given after `deadline`, as when the host shuts down. A later deadline has no effect.
+  virtual void shortenDeadline(double deadline) = 0;
 };
 
+// The module's actions, carried out by the host. They are called from within calls on the module and on its
+// command handles. The module is not reentrant: an action must not call back into it.
 class ActionSink {
  public:
   virtual ~ActionSink() = default;
-  // `beginBy`: a send of which nothing has gone out by then must not begin any more (outcome: notStarted).
-  virtual void send(Command& command, uint32_t node, double timeout, double beginBy) = 0;
+  // Sends the command to an engine; the host reports the end by Command::sendFinished(). `timeout`: seconds,
+  // after which the send ends as timedOut; 0: the command's deadline alone. `beginBy`: a send of which
+  // nothing has been written by then must not begin any more and ends as notStarted.
+  virtual void send(Command& command, uint32_t engine, double timeout, double beginBy) = 0;
+  // Priority, 0 (lowest) to 3, and memory grant in MB (0: none) of the next send, or of the running one.
   virtual void setPriorityAndMemory(Command& command, int priority, double memoryMb) = 0;
-  virtual void cancel(Command& command, int sendNo) = 0;
+  // Asks the engine to stop a running send. `sendIndex` counts the command's sends from 0.
+  virtual void cancel(Command& command, int sendIndex) = 0;
+  // Final answer: shed; a retry by the client does no harm. `retryAfter`: seconds that it should wait; 0:
+  // unspecified.
   virtual void shed(Command& command, double retryAfter) = 0;
+  // Final answer: failed; the command may have run.
   virtual void fail(Command& command) = 0;
-  virtual void probe(uint32_t node) = 0;
+  // Asks an engine for a load report, answered by Policy::probeFinished().
+  virtual void probe(uint32_t engine) = 0;
+  // Asks for the engine list and for its changes from then on.
   virtual void requestEngineList() = 0;
-  virtual void scheduleWakeUp(double at) = 0;
+  // Requests advanceTo() and decide() at that time.
+  virtual void scheduleWakeUp(double time) = 0;
   virtual void log(const std::string& line) = 0;
-  virtual void ejectionChanged(uint32_t, bool) {}  // a node has been found unfit, or fit again
+  // Outlier detection has ejected an engine or put it back in service.
+  virtual void ejectionChanged(uint32_t /*engine*/, bool /*ejected*/) {}
 };
 
-// Who may start now, and who comes first, where budgets are set (src/budget). The module then asks it at its turns
-// in place of its own queues; what it costs is the module's corrected estimate. It decides nothing else: which
-// engine, whether again and what is turned away stay the module's. Without it the module decides as ever.
+// A command that should make room for one within its guarantee.
 struct Preemption {
-  Command* command = nullptr;  // none: nobody has to
-  bool cancel = false;         // it may be cancelled and go again later; else its priority is lowered
+  Command* command = nullptr;  // null: none
+  bool cancel = false;  // cancel its send, if the command may be sent again; else only lower its priority
 };
+
+// Selects the next command in place of the module's own queues where budgets are set (src/budget). Work
+// passed to it is the module's corrected estimate. The choice of engine, retries and shedding stay with the
+// module.
 class BudgetScheduler {
  public:
   virtual ~BudgetScheduler() = default;
   virtual void advanceTo(double now) = 0;
   virtual void add(Command& command, const Arrival& arrival) = 0;
-  virtual void enqueue(Command& command, double work, double memoryMb,
-                       bool again) = 0;                      // it waits for its turn
-  virtual void dequeue(Command& command) = 0;                // no longer
-  virtual Command* selectNext() = 0;                         // whose turn it is, of those that are held
-  virtual void postpone(Command& command, double wait) = 0;  // it got no place, or lost its draw
-  virtual void sendStarted(Command& command) = 0;            // a send of it is out
-  virtual void sendFinished(Command& command,
-                            double billed) = 0;     // no longer; its work if an engine told it, or 0
-  virtual void remove(Command& command) = 0;        // it is over
-  virtual bool isGuaranteed(Command& command) = 0;  // within what is guaranteed: shed last
-  virtual Preemption selectPreemption() = 0;        // what runs and should make room for a guarantee
-  virtual double nextWakeUp() = 0;                  // when selectNext() may say something else
+  // The command waits to be sent; `again`: not for the first time. `work`: core-seconds.
+  virtual void enqueue(Command& command, double work, double memoryMb, bool again) = 0;
+  // The command waits no longer: it is sent or has ended.
+  virtual void dequeue(Command& command) = 0;
+  // The command to send next, of those enqueued; null: none at this time.
+  virtual Command* selectNext() = 0;
+  // The selected command was not sent: no engine had room, or it was not admitted. It waits for `wait`
+  // seconds.
+  virtual void postpone(Command& command, double wait) = 0;
+  virtual void sendStarted(Command& command) = 0;
+  // A send has ended. `billed`: the work that the engine reported, in core-seconds; 0: unknown.
+  virtual void sendFinished(Command& command, double billed) = 0;
+  // The command has ended, and so have its sends.
+  virtual void remove(Command& command) = 0;
+  // Whether the command is within its tenant's guarantee: such commands are shed last.
+  virtual bool isGuaranteed(Command& command) = 0;
+  // A running command that should make room for one within its guarantee.
+  virtual Preemption selectPreemption() = 0;
+  // The time from which selectNext() may give another result.
+  virtual double nextWakeUp() = 0;
 };
 
+// The decision module of one gateway process.
 class Policy {
  public:
   virtual ~Policy() = default;
+  // Sets the current time, which must not go back.
   virtual void advanceTo(double now) = 0;
+  // Takes a command. Throws std::runtime_error if its profile is not in the settings.
   virtual std::shared_ptr<Command> submit(const Arrival& arrival) = 0;
+  // Takes a complete list of engines, or changes to it; rows are ignored for EngineListKind::error, after
+  // which the module requests the list again.
   virtual void updateEngines(EngineListKind kind, const std::vector<EngineRecord>& rows) = 0;
-  virtual void probeFinished(uint32_t node, Outcome what, const LoadReport* report) = 0;
+  // A probe has ended. `report` may be null.
+  virtual void probeFinished(uint32_t engine, Outcome outcome, const LoadReport* report) = 0;
+  // Acts on what has been reported.
   virtual void decide() = 0;
 };
 
-// `budgetScheduler` must outlive the policy and its commands; none: no budgets are set.
+// Creates the module. `seed` makes its random choices reproducible. `actions` and `budgetScheduler` must
+// outlive the policy and its commands. Without a budget scheduler no budgets are enforced.
 std::unique_ptr<Policy> createPolicy(const Settings& settings, uint64_t seed, ActionSink& actions,
                                      BudgetScheduler* budgetScheduler = nullptr);
 
