--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -1,14 +1,33 @@
-// The decisions of elmcleat, all of them. The host creates one policy (createPolicy, at the end), tells it the
-// time and what happens, and calls decide(). Interface: src/policy.h; reasons and sources: docs/design.md.
-// The ordinary path is DESIGN's: nested queues (tenant, then profile), FIFO leaves, round-robin turns paid in
-// work, a start on the least-loaded engine while our threads a core stay under the mark, by chance above it.
-// Beside it stand six mechanisms:
-//   1. health       nodes that fail or fall silent while others answer rest, and come back by trials
-//   2. cold start   a node that has just started gets no more work than our part of its budget
-//   3. shedding     what can't be in time, or is worth least for its work, ends early under overload
-//   4. estimates    corrected by bills and latencies; grants, priorities, time-outs follow; memory is a bound
-//   5. the others   many gateways: their part by our sends to the whole fleet, by reports, by nodes of ours
-//   6. held groups  who would wait for a load on its group of tables keeps off that load's node
+// The decision module of elmcleat: which engine gets a command and when, what is sent again, and what is
+// shed. The host creates one policy (createPolicy, at the end), tells it the time and what happens, and calls
+// decide(). Interface: src/policy.h; reasons and sources: docs/design.md.
+//
+// Commands wait in hierarchical deficit round-robin queues (tenant, then profile) with FIFO leaves; a turn is
+// charged by work. The next command starts on the least-loaded engine. Among engines of about equal load,
+// weighted rendezvous hashing sends the commands of one table group to the same one. An engine under pressure
+// admits commands up to the mark, a number of threads a core, and above it at random, with a probability that
+// falls to 0 at twice the mark.
+//
+// Six mechanisms support this:
+//   1. Outlier detection: engines that fail, or don't answer while others do, are ejected. They return after
+//      half-open trials, single commands that are sent to see whether the engine has recovered.
+//   2. Slow start: an engine that has just started gets no more work than this gateway's share of its budget.
+//   3. Load shedding: commands that can't be in time end early, and under overload also those with the least
+//      benefit for their work.
+//   4. Estimates: work and memory are corrected by reported usage and latencies (EWMA). Memory grants,
+//      priorities and time-outs follow from them, and memory is a hard limit.
+//   5. Many gateways: the load of the others is derived from this gateway's own sends and from load reports,
+//      and each gateway prefers a subset of the engines.
+//   6. Bulk loads: a command that would wait for a bulk load of its table group avoids that load's engine.
+//
+// Rules that hold whatever the load, referred to by number below:
+//   1. Each command gets exactly one final answer, in time.
+//   2. No command takes effect twice.
+//   3. A draining engine gets nothing new.
+//   4. All gateways together don't overload a cold engine.
+//   5. Commands of one ordering key run in order, one at a time.
+//   6. Commands run only in their allowed zones and on their allowed kinds of engines.
+//   7. Retries stay within the retry budget.
 #include "policy.h"
 
 #include <algorithm>
@@ -26,973 +45,1355 @@
 namespace elmcleat {
 namespace {
 
-// --- tuned values (seconds, threads a core, multiples)
-constexpr double kMark = 2, kUnseen = 0.3, kEmptyUse = 1.8;  // threads a core; part off where few sends tell
-constexpr double kUseCut = 0.85, kReportFresh = 0.5;         // a fresh report under the cut: under the mark
-constexpr double kWaitLow = 0.020, kWaitHigh = 0.100;        // a loser's wait, for usual work;
-constexpr double kWaitLeast = 0.2, kWaitMost = 3;  // it grows with the work: draws are paid as turns are
-constexpr double kQuantum = 0.05, kCredit = 40;    // work that a turn pays for; most turns put by
-constexpr double kAnswers = 20, kPrior = 3;        // answers for the fleet's latency; its weight at a node
-constexpr double kFar = 1.6, kFarUnseen = 0.3, kPressureHold = 1;  // latency that shows pressure; its hold
-constexpr double kRatioCap = 4;  // no latency counts as more: a bad plan says little
-constexpr double kMarkFall = 0.8, kMarkRise = 0.25, kMarkFree = 6;  // how the mark moves under pressure
-constexpr double kVeryFar = 2.4, kMarkLeast = 0.75;                 // and below its value, if very far
-constexpr double kDense = 2, kLeastPart = 0.125;  // sends a second that tell how a node is; least part of all
-constexpr double kSpare = 1.3, kOver = 1;         // a node's part of our sends; what sends beyond it weigh
-constexpr double kBand = 0.5;  // how far the first in rank may stand above the least loaded
-constexpr double kFarZone = 1, kApart = 1, kLoadSide = 0.33;  // a crossing; the wrong side of a rank; sides
-constexpr double kReportFades = 3, kSweep = 0.05, kClock = 1e-6;  // and each node is probed as often; clocks
-constexpr double kMemoryUse = 0.85, kOwnGrant = 1.25, kGrantSpare = 1.4;  // memory to fill; grants
-constexpr double kSafeCapacity = 0.4, kLearn = 0.02;  // of a cold node's cores; weight of one more in a mean
-constexpr double kByTurns = 0.08, kTurnsUsed = 0.5;  // less of all gateways takes turns; the use made of them
-constexpr double kSlots = 2, kSlotPart = 0.25, kHolders = 2;  // in a window; of its budget each; who share it
-constexpr double kHomeSpan = 2, kHomeLeast = 8, kAway = 2;    // own nodes: by sends in it; fewest; others
-constexpr double kRestFirst = 1, kRestLast = 8, kFullPause = 1;   // rests, doubled at each relapse
-constexpr double kFailSpan = 4, kFailShare = 0.2, kFailLead = 2;  // failures that blame a node
-constexpr double kQuiet = 0.5, kTrials = 3;  // nothing is overdue sooner; failures to blame, trials to clear
-constexpr double kFurther = 2, kTimeoutRuns = 3;  // further sends of a command; a time-out, in usual runs
-constexpr double kBacklog = 0.2, kOverloadHold = 0.5;  // part of the slack for the backlog; overload lasts on
-constexpr double kTooLate = 0.8, kGroups = 64;  // part of the run at rest that must fit; queues of loads
-
-// --- types
+// --- Timing
+constexpr double kSweepInterval = 0.05;    // seconds
+constexpr double kClockResolution = 1e-6;  // seconds; the host's clock may round wake-ups
+constexpr double kTrafficWindow = 20;      // seconds, for rates of arrivals and of completed work
+constexpr double kCompletionWindow = 3;    // seconds, for the rate of completed work that shedding uses
+constexpr double kListRetryMin = 0.5;      // seconds until the engine list is requested again after an error
+constexpr double kListRetryMax = 1.0;      // seconds
+
+// --- Queues: deficit round-robin
+constexpr double kQuantum = 0.05;       // core-seconds a round, for a weight of 1
+constexpr double kMaxCredit = 40;       // quanta that a queue may save
+constexpr double kBulkLoadQueues = 64;  // queues for bulk loads of a tenant, by table group
+
+// --- Admission by the mark
+constexpr double kMark = 2;                 // threads a core
+constexpr double kSparseReserve = 0.3;      // share of mark and memory left free where sends are sparse
+constexpr double kIdleGatewayMaxUse = 1.8;  // multiple of the mark, for a gateway without a send
+constexpr double kBackoffMin = 0.020;  // seconds that a command of usual work waits after it wasn't admitted
+constexpr double kBackoffMax = 0.100;  // seconds
+// The wait grows with the work, as the charge for a turn does.
+constexpr double kBackoffScaleMin = 0.2;  // multiple
+constexpr double kBackoffScaleMax = 3;    // multiple
+
+// --- Pressure, and how the mark moves under it
+constexpr double kBusyUtilisation = 0.85;      // share of the cores; below it an engine is below the mark
+constexpr double kBusyDiskUtilisation = 0.97;  // share of the disk throughput
+constexpr double kBusyQueueLength = 0.5;       // commands queued at the engine
+constexpr double kIdleReportLifetime = 0.5;    // seconds for which a report of low utilisation counts
+constexpr double kRecentAnswers = 20;          // answers that make up the fleet's latency ratio
+constexpr double kPriorCommands = 3;    // usual commands: weight of the fleet's figure beside measured ones
+constexpr double kPressureRatio = 1.6;  // latency over idle latency
+constexpr double kSparsePressureReduction = 0.3;  // off kPressureRatio where sends are sparse
+constexpr double kSeverePressureRatio = 2.4;      // latency over idle latency
+constexpr double kMaxLatencyRatio = 4;            // cap: a slow answer may be due to a bad query plan
+constexpr double kPressureHold = 1;               // seconds
+constexpr double kMarkDecrease = 0.8;             // factor a sweep
+constexpr double kMarkIncrease = 0.25;            // share a sweep, if all recent answers are new
+constexpr double kMarkRelease = 6;                // multiple of the mark above which pressure ends
+constexpr double kSevereMarkMin = 0.75;           // multiple of the mark, under severe pressure
+
+// --- Choice of an engine; loads are in threads a core
+constexpr double kLoadBand = 0.5;     // above the least load: engines within it count as equal
+constexpr double kCrossZoneLoad = 1;  // added for an engine of another zone, where that is charged
+// Share of the engines that bulk loads of one table group prefer; the commands that yield to them prefer the
+// others.
+constexpr double kBulkLoadShare = 0.33;
+constexpr double kWrongSideLoad = 1;        // added for an engine that such a command doesn't prefer
+constexpr double kNonPreferredLoad = 2;     // added for an engine outside the gateway's preferred subset
+constexpr double kOverShareLoad = 1;        // added for an engine with more than its share of the sends
+constexpr double kSlotLoadCredit = 1;       // taken off in a cold engine's slot under pressure
+constexpr double kDecisiveLoad = 1e6;       // outweighs any load
+constexpr double kSendShareHeadroom = 1.3;  // multiple of an engine's share of the sends
+
+// --- Many gateways
+constexpr double kDenseSends = 2;           // sends a second to one engine that suffice to judge its state
+constexpr double kMinTrafficShare = 0.125;  // least share of all traffic that a gateway assumes for itself
+constexpr double kReportDecayTime = 3;      // seconds until a report's weight is 1/e; also the probe interval
+constexpr double kPreferredWindow = 2;      // seconds: as many engines are preferred as commands arrive in it
+constexpr double kMinPreferred = 8;         // engines
+
+// --- Estimates
+constexpr double kEwmaWeight = 0.02;          // weight of a new value
+constexpr double kIdleRatioDecrease = 0.97;   // factor an answer: the idle latency tracks a low quantile
+constexpr double kIdleRatioIncrease = 1.005;  // factor an answer
+
+// --- Memory
+constexpr double kMaxMemoryUse = 0.85;       // share of an engine's memory
+constexpr double kEngineGrantFactor = 1.25;  // of the estimate: what an engine grants where we can't set it
+constexpr double kGrantHeadroom = 1.4;       // multiple of the corrected estimate
+
+// --- Cold engines
+constexpr double kColdBudgetShare = 0.4;   // share of the budget that is surely safe to use, without slots
+constexpr double kSlottedShare = 0.08;     // share of the fleet below which a gateway uses slots
+constexpr double kSlotsPerWindow = 2;      // slots in a coldOverloadWindow
+constexpr double kSlotBudgetShare = 0.25;  // of the budget: a window overlaps 3 slots, slow sends reach a 4th
+constexpr double kSlotHolders = 2;         // gateways that share a slot
+constexpr double kSlottedCapacityUse = 0.5;  // share of its cores that counts, as not every slot finds work
+
+// --- Outlier detection
+constexpr double kMinEjection = 1;        // seconds; doubled at each relapse
+constexpr double kMaxEjection = 8;        // seconds
+constexpr double kRelapseWindow = 8;      // seconds in service within which a new ejection is a relapse
+constexpr double kTrialPatience = 8;      // seconds after which any command may be the trial
+constexpr double kFailureWindow = 4;      // seconds
+constexpr double kMinFailureShare = 0.2;  // share of the sends that fail
+constexpr double kFailureOddsRatio = 2;   // odds of failure over those at the other engines
+constexpr double kMinOverdueTime = 0.5;   // seconds, on top of kTimeoutRatio
+constexpr double kMaxEvidence = 3;        // failures to eject an engine, and answered trials to return it
+constexpr double kMinOverloadPause = 1;  // seconds without sends after a refusal; doubled at each further one
+constexpr double kMaxOverloadPause = 8;  // seconds
+
+// --- Retries and time-outs
+constexpr double kMaxRetries = 2;    // sends after a command's first one
+constexpr double kTimeoutRatio = 3;  // multiple of the expected latency
+
+// --- Load shedding
+constexpr double kBacklogSlackShare = 0.2;  // share of the slack that the backlog may take up
+constexpr double kMinRateShare = 0.25;      // of our share of the cores: least rate of work assumed
+constexpr double kOverloadHold = 0.5;       // seconds
+constexpr double kMinRunShare = 0.8;        // of the idle latency: what must be left until a deadline
+
 struct PolicyImpl;
 struct CommandState;
 
-struct ProfileStatistics {  // one row a profile: what the module has learnt of it
+// What the module has learnt about the commands of one profile.
+struct ProfileStatistics {
   const Profile* profile = nullptr;
-  double workRatio = 1, memoryRatio = 1;  // bills over estimates
-  double usualWork = 0;                   // mean work of a command
-  double best = 1;                        // latency at rest over the corrected estimate
+  double workRatio = 1;         // reported over estimated work
+  double memoryRatio = 1;       // reported over estimated memory
+  double usualWork = 0;         // core-seconds: mean of the corrected estimates
+  double idleLatencyRatio = 1;  // latency at an idle engine over the run time
 };
 
-struct
-    DeficitRoundRobinQueue {  // a queue of the tree: turns among its children and, as one more child, its own FIFO
+// A queue of the hierarchical deficit round-robin scheduler (Shreedhar and Varghese 1996). Its children take
+// turns; the queue's own FIFO takes part as one more child. Deficits are in core-seconds.
+struct DeficitRoundRobinQueue {
   DeficitRoundRobinQueue* parent = nullptr;
   std::string name;
-  double weight = 1, deficit = 0, ownDeficit = 0, wakeAt = 0;
+  double weight = 1;
+  double deficit = 0;      // as a child of its parent
+  double fifoDeficit = 0;  // of its own FIFO
+  double wakeAt = 0;       // seconds: its FIFO waits until then after its first command wasn't admitted
   std::vector<std::unique_ptr<DeficitRoundRobinQueue>> children;
-  size_t cursor = 0;
+  size_t cursor = 0;  // child whose turn it is; children.size(): the FIFO
   std::deque<std::shared_ptr<CommandState>> fifo;
 
-  bool holds() const { return wakes() < HUGE_VAL; }
-  double wakes() const {  // when the next leaf that holds something draws
-    double at = fifo.empty() ? HUGE_VAL : wakeAt;
-    for (auto& c : children)
-      at = std::min(at, c->wakes());
-    return at;
-  }
-  DeficitRoundRobinQueue& child(const std::string& who, double share) {
-    for (auto& c : children)
-      if (c->name == who)
-        return *c;
-    DeficitRoundRobinQueue& made = *children.emplace_back(std::make_unique<DeficitRoundRobinQueue>());
-    made.parent = this, made.name = who, made.weight = share;
-    return made;
-  }
-  // Deficit round-robin: the queue whose turn it is, or none. Who has credit goes on; when none has, all that
-  // hold something get as many quanta by weight as give one credit: who waits for a draw loses no service.
-  DeficitRoundRobinQueue* next(double now) {
+  bool hasCommands() const { return nextAttempt() < HUGE_VAL; }
+  // Earliest time at which a FIFO with commands may be served; infinite if all are empty.
+  double nextAttempt() const {
+    double time = fifo.empty() ? HUGE_VAL : wakeAt;
+    for (auto& queue : children)
+      time = std::min(time, queue->nextAttempt());
+    return time;
+  }
+  // The child of that name, created if there is none.
+  DeficitRoundRobinQueue& child(const std::string& childName, double childWeight) {
+    for (auto& queue : children)
+      if (queue->name == childName)
+        return *queue;
+    DeficitRoundRobinQueue& created = *children.emplace_back(std::make_unique<DeficitRoundRobinQueue>());
+    created.parent = this;
+    created.name = childName;
+    created.weight = childWeight;
+    return created;
+  }
+  // The leaf whose turn it is, or null. A child with credit is served first. If none has any, all children
+  // with commands get as many quanta as give one of them credit, also those that wait after they weren't
+  // admitted: they lose no service.
+  DeficitRoundRobinQueue* selectNext(double now) {
     size_t slots = children.size() + 1;
     auto child = [&](size_t i) { return i < children.size() ? children[i].get() : nullptr; };
-    auto live = [&](size_t i) {
-      return (child(i) ? child(i)->wakes() : fifo.empty() ? HUGE_VAL : wakeAt) <= now;
+    auto ready = [&](size_t i) {
+      return (child(i) ? child(i)->nextAttempt() : fifo.empty() ? HUGE_VAL : wakeAt) <= now;
     };
-    auto credit = [&](size_t i) -> double& { return child(i) ? child(i)->deficit : ownDeficit; };
+    auto credit = [&](size_t i) -> double& { return child(i) ? child(i)->deficit : fifoDeficit; };
     auto quantum = [&](size_t i) { return kQuantum * (child(i) ? child(i)->weight : 1.0); };
     for (int pass = 0; pass < 2; ++pass) {
       double rounds = -1;
       for (size_t step = 0; step < slots; ++step) {
         size_t i = (cursor + step) % slots;
-        if (!live(i))
+        if (!ready(i))
           continue;
-        if (credit(i) > 0)
-          return cursor = i, child(i) ? child(i)->next(now) : this;
-        double need = std::floor(-credit(i) / quantum(i)) + 1;
-        rounds = rounds < 0 ? need : std::min(rounds, need);
+        if (credit(i) > 0) {
+          cursor = i;
+          return child(i) ? child(i)->selectNext(now) : this;
+        }
+        double needed = std::floor(-credit(i) / quantum(i)) + 1;
+        rounds = rounds < 0 ? needed : std::min(rounds, needed);
       }
       if (rounds < 0)
         return nullptr;
       for (size_t i = 0; i < slots; ++i)
-        if (child(i) ? child(i)->holds() : !fifo.empty())
-          credit(i) = std::min(credit(i) + rounds * quantum(i), kCredit * quantum(i));
+        if (child(i) ? child(i)->hasCommands() : !fifo.empty())
+          credit(i) = std::min(credit(i) + rounds * quantum(i), kMaxCredit * quantum(i));
       cursor = (cursor + 1) % slots;
     }
     return nullptr;
   }
-  void pay(double work) {
-    ownDeficit -= work;
-    for (DeficitRoundRobinQueue* turn = this; turn->parent; turn = turn->parent)
-      turn->deficit -= work;
+  // Charges a command of this leaf to the leaf and to all queues above it.
+  void charge(double work) {
+    fifoDeficit -= work;
+    for (DeficitRoundRobinQueue* queue = this; queue->parent; queue = queue->parent)
+      queue->deficit -= work;
   }
 };
 
+// An engine of the list, or one that has left it but still has sends out or figures that count.
 struct TrackedEngine {
   uint32_t id = 0;
-  std::string zone, kind;
-  int cell = 0, place = -1;  // the latter: of this gateway among those that use it
-  double cores = 1, memoryMb = 0;
-  bool listed = false, gone = false;
-  std::optional<double> startedAt;
-  std::vector<std::shared_ptr<CommandState>> out;
-  double threads = 0, memory = 0;  // of our sends there
-  SlidingWindowSum took{1}, rest{1}, fails{kFailSpan}, oks{kFailSpan}, coldWork{1};
-  std::vector<double> credit;     // by profile: sends that are due to it as its part of ours
-  double stretch = 1, limit = 1;  // latency, over the best; the mark's multiple
-  double pressedUntil = -1, idleUntil = -1, fullUntil = -1;
-  double others = 0, reportedAt = -HUGE_VAL;  // threads of the other gateways there, by its last report
-  int64_t slot = -1;                          // of a cold one, the last that was ours,
-  double slotWork = 0;                        // and what we sent in it
-  double homeRank = 0;                        // among the nodes of this gateway
-  bool home = true;
-  double restUntil = 0, restTime = kRestFirst, pause = kFullPause, wellSince = 0;
-  int trials = 0, late = 0;  // answered ones; sends overdue now
-  bool pressed = false, resting = false, trialOut = false;
-  bool over(double now) {
-    return gone && out.empty() && coldWork.upperBound(now) + fails.upperBound(now) <= 0;
+  std::string zone;
+  std::string kind;
+  int cell = 0;
+  int gatewayRank = -1;  // of this gateway among those that use the engine; negative: unknown
+  double cores = 1;
+  double memoryMb = 0;  // 0: unknown
+  bool inService = false;
+  bool removed = false;
+  std::optional<double> startedAt;                         // seconds
+  std::vector<std::shared_ptr<CommandState>> outstanding;  // commands with a send out there
+  double threadsInUse = 0;                                 // by our sends
+  double memoryInUse = 0;                                  // MB, by our sends
+  SlidingWindowSum latencySum{1};                          // seconds, of answers
+  SlidingWindowSum idleLatencySum{1};                      // seconds: the idle latencies of the same answers
+  SlidingWindowSum failures{kFailureWindow};               // sends
+  SlidingWindowSum answers{kFailureWindow};                // sends
+  SlidingWindowSum coldWork{1};                            // core-seconds sent while it was cold
+  std::vector<double> sendCredit;                          // by profile: sends due as its share of ours
+  double latencyRatio = 1;                                 // latency over idle latency
+  double markMultiple = 1;                                 // of kMark
+  double pressureUntil = -1;                               // seconds
+  double idleUntil = -1;                                   // seconds: reported low utilisation until then
+  double overloadedUntil = -1;                             // seconds: refused a send, gets none until then
+  double otherThreads = 0;                   // threads of other gateways' commands, by its last report
+  double reportedAt = -HUGE_VAL;             // seconds
+  int64_t lastSlot = -1;                     // last slot of its cold time that was ours
+  double slotWork = 0;                       // core-seconds that we sent in that slot
+  double preferenceRank = 0;                 // by a hash of this gateway and the engine
+  bool preferred = true;                     // in this gateway's subset
+  double ejectedUntil = 0;                   // seconds; trials from then on
+  double ejectionTime = kMinEjection;        // seconds
+  double overloadPause = kMinOverloadPause;  // seconds
+  double inServiceSince = 0;                 // seconds: end of the last ejection
+  int trialsAnswered = 0;
+  int overdue = 0;  // sends that are overdue now
+  bool underPressure = false;
+  bool ejected = false;
+  bool trialOut = false;
+
+  // Whether nothing about it matters any more.
+  bool isForgettable(double now) {
+    return removed && outstanding.empty() && coldWork.upperBound(now) + failures.upperBound(now) <= 0;
   }
 };
 
-struct KeyQueue {  // commands of one key, in the order taken
-  std::deque<std::shared_ptr<CommandState>> line;
-  double quietUntil = 0;
+// The commands of one ordering key.
+struct KeyQueue {
+  std::deque<std::shared_ptr<CommandState>> commands;  // in order of arrival
+  double quietUntil = 0;                               // seconds: none is sent before
 };
 
 struct CommandState final : Command, std::enable_shared_from_this<CommandState> {
-  CommandState(PolicyImpl& owner, ProfileStatistics& its) : core(owner), row(its) {}
+  CommandState(PolicyImpl& owner, ProfileStatistics& ofProfile) : policy(owner), statistics(ofProfile) {}
   void streamingStarted() override { streaming = true; }
   void statusReported(StatusTopic topic, double level) override;
-  void sendFinished(Outcome what, double took, bool final, const ResourceUsage* usage,
+  void sendFinished(Outcome outcome, double took, bool final, const ResourceUsage* usage,
                     const LoadReport* report) override;
   void withdrawn() override;
-  void shortenDeadline(double at) override { timeoutAt = std::min(timeoutAt, at); }
-
-  const Profile& profile() const { return *row.profile; }
-  double run() const { return work / profile().threads; }  // on its threads, alone
-  double atRest() const { return run() * row.best; }       // latency at rest
-
-  PolicyImpl& core;
-  ProfileStatistics& row;
-  DeficitRoundRobinQueue* leaf = nullptr;
-  uint64_t tables = 0;
-  std::optional<uint64_t> key;
-  double estimate = 0, estimateMb = 0, work = 0, memory = 0, grant = 0;
-  double targetAt = 0, timeoutAt = 0, worth = 0;
-  double sentAt = 0, ranAt = -1;  // ranAt: first send that may have run
-  TrackedEngine* node = nullptr;  // where a send is out
-  std::optional<uint32_t> avoid;  // where the last one failed
-  std::string ranZone;            // and where the first ran, as that node may have gone
-  int sends = 0, ranCell = 0;
-  bool held = false, over = false, streaming = false, trial = false, cancelled = false;
-  bool lowered = false;  // to the least priority, since it borrows: slow by our own doing, blames no node
+  void shortenDeadline(double at) override { deadline = std::min(deadline, at); }
+
+  const Profile& profile() const { return *statistics.profile; }
+  // Seconds, if it has its threads to itself.
+  double runTime() const { return work / profile().threads; }
+  // Seconds: expected latency at an idle, warm engine.
+  double idleLatency() const { return runTime() * statistics.idleLatencyRatio; }
+
+  PolicyImpl& policy;
+  ProfileStatistics& statistics;
+  DeficitRoundRobinQueue* queue = nullptr;
+  uint64_t tableGroup = 0;
+  std::optional<uint64_t> orderingKey;
+  double estimatedWork = 0;              // core-seconds, as it arrived
+  double estimatedMemoryMb = 0;          // as it arrived
+  double work = 0;                       // core-seconds: corrected estimate, then the reported work
+  double memoryMb = 0;                   // corrected estimate
+  double reservedMb = 0;                 // at its engine, for the send that is out
+  double targetTime = 0;                 // seconds: end of the latency target
+  double deadline = 0;                   // seconds: the client gives up
+  double benefit = 0;                    // within the latency target
+  double sentAt = 0;                     // seconds: last send
+  double firstRunAt = -1;                // seconds: first send that may have run; negative: none
+  TrackedEngine* engine = nullptr;       // where a send is out
+  std::optional<uint32_t> failedEngine;  // where the last send ended
+  std::string firstRunZone;              // kept here, as that engine may have left the list
+  int sendCount = 0;
+  int firstRunCell = 0;
+  bool waiting = false;  // in a queue
+  bool ended = false;    // its final answer is given, or it was withdrawn
+  bool streaming = false;
+  bool isTrial = false;  // its send is an ejected engine's trial
+  bool cancelled = false;
+  bool lowPriority = false;  // it borrows and has the lowest priority: its slowness is no fault of the engine
 };
 
-double mix(uint32_t node, uint64_t group) {  // rendezvous hash, in (0, 1)
-  uint64_t h = (group + 0x9e3779b97f4a7c15ULL) * 0xbf58476d1ce4e5b9ULL ^ (node * 0x94d049bb133111ebULL);
-  h = (h ^ (h >> 30)) * 0xbf58476d1ce4e5b9ULL;
-  h = (h ^ (h >> 27)) * 0x94d049bb133111ebULL;
-  return (static_cast<double>((h ^ (h >> 31)) >> 11) + 0.5) * 0x1p-53;
+// Rendezvous (highest random weight) hash of an engine and a key, in (0, 1).
+double rendezvousHash(uint32_t engine, uint64_t key) {
+  uint64_t hash = (key + 0x9e3779b97f4a7c15ULL) * 0xbf58476d1ce4e5b9ULL ^ (engine * 0x94d049bb133111ebULL);
+  hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9ULL;
+  hash = (hash ^ (hash >> 27)) * 0x94d049bb133111ebULL;
+  return (static_cast<double>((hash ^ (hash >> 31)) >> 11) + 0.5) * 0x1p-53;
 }
 
 struct PolicyImpl final : Policy {
-  PolicyImpl(const Settings& given, uint64_t seed, ActionSink& to, BudgetScheduler* over)
-      : settings(given), chance(seed), actions(to), budgetScheduler(over), salt(seed) {
-    rows.resize(settings.profiles.size());
-    for (size_t i = 0; i < rows.size(); ++i)
-      rows[i].profile = &settings.profiles[i];
+  PolicyImpl(const Settings& given, uint64_t seed, ActionSink& sink, BudgetScheduler* scheduler)
+      : settings(given), random(seed), actions(sink), budgetScheduler(scheduler), hashKey(seed) {
+    statistics.resize(settings.profiles.size());
+    for (size_t i = 0; i < statistics.size(); ++i)
+      statistics[i].profile = &settings.profiles[i];
     for (auto& tenant : settings.tenants)
-      quotas += tenant.quota;
-    further = takenInSpan = SlidingWindowSum(std::max(settings.retryBudgetWindow, 0.001));
-    loadsHold = std::ranges::any_of(rows, [](ProfileStatistics& r) { return r.profile->yieldsToBulkLoads; });
+      totalQuota += tenant.quota;
+    retries = arrivalsInBudgetWindow = SlidingWindowSum(std::max(settings.retryBudgetWindow, 0.001));
+    avoidsBulkLoads = std::ranges::any_of(
+        statistics, [](ProfileStatistics& row) { return row.profile->yieldsToBulkLoads; });
   }
 
   void advanceTo(double time) override {
-    now = time, openedAt = openedAt < 0 ? now : openedAt;
+    now = time;
+    openedAt = openedAt < 0 ? now : openedAt;
     if (budgetScheduler)
       budgetScheduler->advanceTo(now);
   }
-  double seen() const { return std::clamp(now - openedAt, 5.0, 20.0); }  // the span of taken and doneLong
-  double share() const { return 1.0 / std::max(1, settings.gatewayCount); }
-  double part() const { return std::clamp(trafficPart, share(), 1.0); }  // of all work done, at least
-  bool cold(const TrackedEngine& node) const {
-    return node.startedAt && now < *node.startedAt + settings.coldDuration;
-  }
-  // Threads a core, of all gateways if the others run as many there as we do, or as it reported.
-  double load(const TrackedEngine& node) const {
-    return node.threads / able(node) / std::max(part(), kLeastPart) + others(node) - usualOthers();
-  }
-  double able(const TrackedEngine& node) const {  // cores; of a cold node the part that it surely has by now
-    double age = cold(node) ? std::max(0.0, now - *node.startedAt) / settings.coldDuration : 1;
-    return node.cores * (settings.coldCapacity + (1 - settings.coldCapacity) * age);
-  }
-  // What is left of a node's report.
-  double tells(const TrackedEngine& node) const { return std::exp((node.reportedAt - now) / kReportFades); }
-  double slow(const TrackedEngine& node) const {
-    return node.cores / able(node);
-  }  // a run there, over a warm one's
+
+  // --- Load and capacity
+  // Seconds that `arrivals` and `completedWork` cover so far.
+  double trafficSpan() const { return std::clamp(now - openedAt, 5.0, 20.0); }
+  // Share of one gateway among all.
+  double gatewayShare() const { return 1.0 / std::max(1, settings.gatewayCount); }
+  // This gateway's share of all work, at least gatewayShare().
+  double trafficShare() const { return std::clamp(quotaShare, gatewayShare(), 1.0); }
+  bool isCold(const TrackedEngine& engine) const {
+    return engine.startedAt && now < *engine.startedAt + settings.coldDuration;
+  }
+  // Threads a core at an engine: our own over our share of the traffic, as if the other gateways ran there in
+  // proportion, plus how far its report differs from what is usual for the others.
+  double estimatedLoad(const TrackedEngine& engine) const {
+    return engine.threadsInUse / capacity(engine) / std::max(trafficShare(), kMinTrafficShare) +
+           otherLoad(engine) - usualOtherLoad();
+  }
+  // Cores; of a cold engine the part that is usable at its age.
+  double capacity(const TrackedEngine& engine) const {
+    double warmth = isCold(engine) ? std::max(0.0, now - *engine.startedAt) / settings.coldDuration : 1;
+    return engine.cores * (settings.coldCapacity + (1 - settings.coldCapacity) * warmth);
+  }
+  // Weight of an engine's last load report: 1 when it comes in, then decaying.
+  double reportWeight(const TrackedEngine& engine) const {
+    return std::exp((engine.reportedAt - now) / kReportDecayTime);
+  }
+  // Run time at an engine over that at a warm one.
+  double coldSlowdown(const TrackedEngine& engine) const { return engine.cores / capacity(engine); }
   void log(const char* format, auto... figures) {
     char line[160];
     std::snprintf(line, sizeof line, format, figures...);
     actions.log(line);
   }
 
-  // --- commands in and out
+  // --- Commands
   std::shared_ptr<Command> submit(const Arrival& arrival) override {
-    auto row =
-        std::ranges::find_if(rows, [&](ProfileStatistics& r) { return r.profile->name == arrival.profile; });
-    if (row == rows.end())
+    auto row = std::ranges::find_if(
+        statistics, [&](ProfileStatistics& known) { return known.profile->name == arrival.profile; });
+    if (row == statistics.end())
       throw std::runtime_error("a command of an unknown profile: " + arrival.profile);
-    auto cmd = std::make_shared<CommandState>(*this, *row);
+    auto command = std::make_shared<CommandState>(*this, *row);
     const Profile& profile = *row->profile;
-    cmd->tables = arrival.tableGroup;
+    command->tableGroup = arrival.tableGroup;
     if (profile.ordered)
-      cmd->key = arrival.orderingKey;
-    cmd->estimate = arrival.estimatedWork, cmd->estimateMb = arrival.estimatedMemoryMb,
-    cmd->worth = profile.benefit;
-    double guess = row->usualWork > 0 ? row->usualWork : profile.latencyTarget * profile.threads / 2;
-    cmd->work = std::max(arrival.estimatedWork > 0 ? arrival.estimatedWork * row->workRatio : guess, 1e-4);
-    auto drift = [](double& mean, double value) { mean += (value - mean) * (mean > 0 ? kLearn : 1); };
-    cmd->memory = arrival.estimatedMemoryMb * row->memoryRatio;
-    cmd->targetAt = now + profile.latencyTarget + profile.latencyTargetStretch * cmd->run();
-    cmd->timeoutAt = now + arrival.remainingTime;
-    double mb = cmd->memory / profile.threads - usualMb;
-    if (!hopeless(*cmd))  // figures that are out of all range say nothing of what is usual
-      drift(row->usualWork, cmd->work), drift(usualWork, cmd->work), drift(usualRun, cmd->run()),
-          usualMb += mb * std::min(1.0, kLearn * cmd->work / usualWork);
-    taken.add(now, 1), takenInSpan.add(now, 1);
+      command->orderingKey = arrival.orderingKey;
+    command->estimatedWork = arrival.estimatedWork;
+    command->estimatedMemoryMb = arrival.estimatedMemoryMb;
+    command->benefit = profile.benefit;
+    double workGuess = row->usualWork > 0 ? row->usualWork : profile.latencyTarget * profile.threads / 2;
+    command->work =
+        std::max(arrival.estimatedWork > 0 ? arrival.estimatedWork * row->workRatio : workGuess, 1e-4);
+    auto updateMean = [](double& mean, double value) {
+      mean += (value - mean) * (mean > 0 ? kEwmaWeight : 1);
+    };
+    command->memoryMb = arrival.estimatedMemoryMb * row->memoryRatio;
+    command->targetTime = now + profile.latencyTarget + profile.latencyTargetStretch * command->runTime();
+    command->deadline = now + arrival.remainingTime;
+    double memoryDeviation = command->memoryMb / profile.threads - usualMemoryPerThread;
+    if (!isHopeless(*command)) {  // absurd estimates must not distort the means
+      updateMean(row->usualWork, command->work);
+      updateMean(usualWork, command->work);
+      updateMean(usualRunTime, command->runTime());
+      usualMemoryPerThread += memoryDeviation * std::min(1.0, kEwmaWeight * command->work / usualWork);
+    }
+    arrivals.add(now, 1);
+    arrivalsInBudgetWindow.add(now, 1);
     if (budgetScheduler)
-      budgetScheduler->add(*cmd, arrival);
+      budgetScheduler->add(*command, arrival);
     else
-      cmd->leaf = &leafFor(arrival, *cmd);
-    if (cmd->key)
-      keys[*cmd->key].line.push_back(cmd);
+      command->queue = &queueFor(arrival, *command);
+    if (command->orderingKey)
+      keyQueues[*command->orderingKey].commands.push_back(command);
     else
-      hold(*cmd, false);
-    held.push_back(cmd);
-    return cmd;
+      enqueue(*command, false);
+    waiting.push_back(command);
+    return command;
   }
 
-  DeficitRoundRobinQueue& leafFor(const Arrival& arrival, const CommandState& cmd) {
-    double due = 1;
+  // The class queue of a command: its tenant's, then its profile's.
+  DeficitRoundRobinQueue& queueFor(const Arrival& arrival, const CommandState& command) {
+    double weight = 1;
     for (auto& tenant : settings.tenants)
       if (tenant.name == arrival.tenant)
-        due = std::max(tenant.share * double(settings.tenants.size()), 0.01);
-    DeficitRoundRobinQueue& leaf = root.child(arrival.tenant, due).child(cmd.profile().name, 1);
-    if (!cmd.profile().bulkLoad)
-      return leaf;  // loads, one more name: who waits for its group holds up no other
-    return leaf.child(std::to_string(cmd.tables % uint64_t(kGroups)), 1);
+        weight = std::max(tenant.share * double(settings.tenants.size()), 0.01);
+    DeficitRoundRobinQueue& queue = rootQueue.child(arrival.tenant, weight).child(command.profile().name, 1);
+    if (!command.profile().bulkLoad)
+      return queue;
+    // Bulk loads have queues by table group: one that waits for its group doesn't block the others.
+    return queue.child(std::to_string(command.tableGroup % uint64_t(kBulkLoadQueues)), 1);
   }
 
-  void hold(CommandState& cmd, bool first) {
-    cmd.held = true;
+  void enqueue(CommandState& command, bool atFront) {
+    command.waiting = true;
     if (budgetScheduler)
-      return budgetScheduler->enqueue(cmd, cmd.work, cmd.memory, first);
-    for (DeficitRoundRobinQueue* at = cmd.leaf; at->parent && !at->holds(); at = at->parent)
-      at->deficit = at->ownDeficit = 0;  // an empty queue keeps neither debt nor credit
-    auto& fifo = cmd.leaf->fifo;
-    fifo.insert(first ? fifo.begin() : fifo.end(), cmd.shared_from_this());
+      return budgetScheduler->enqueue(command, command.work, command.memoryMb, atFront);
+    // An empty queue keeps neither debt nor credit.
+    for (DeficitRoundRobinQueue* queue = command.queue; queue->parent && !queue->hasCommands();
+         queue = queue->parent)
+      queue->deficit = queue->fifoDeficit = 0;
+    auto& fifo = command.queue->fifo;
+    fifo.insert(atFront ? fifo.begin() : fifo.end(), command.shared_from_this());
   }
 
-  void unhold(CommandState& cmd) {
-    cmd.held = false;
+  void dequeue(CommandState& command) {
+    command.waiting = false;
     if (budgetScheduler)
-      return budgetScheduler->dequeue(cmd);
-    std::erase_if(cmd.leaf->fifo, [&](auto& other) { return other.get() == &cmd; });
+      return budgetScheduler->dequeue(command);
+    std::erase_if(command.queue->fifo, [&](auto& other) { return other.get() == &command; });
   }
 
-  // The final answer, at once. A shed says that a retry does no harm, so it is given only where that holds:
-  // never run, replayable, or uniqued where every node knows the repeat (rule 2).
-  void end(CommandState& cmd) {
-    if (cmd.over)
+  // Gives the final answer at once. A shed tells the client that a retry does no harm, so it is given only
+  // where that is true: the command never ran, is replayable, or every engine would recognise the repeat
+  // (rule 2, no second effect). Otherwise the command fails.
+  void shedOrFail(CommandState& command) {
+    if (command.ended)
       return;
-    auto self = cmd.shared_from_this();
-    if (cmd.held)
-      unhold(cmd);
-    cmd.over = true;
-    const Profile& profile = cmd.profile();
-    bool known = profile.retrySafety == RetrySafety::deduplicated &&
-                 profile.deduplicationScope == DeduplicationScope::all;
-    if (cmd.ranAt < 0 || profile.retrySafety == RetrySafety::replayable || known)
-      actions.shed(cmd, settings.retryAfterSupported && overload ? settings.maxRetryAfter : 0);
+    auto self = command.shared_from_this();
+    if (command.waiting)
+      dequeue(command);
+    command.ended = true;
+    const Profile& profile = command.profile();
+    bool repeatRecognised = profile.retrySafety == RetrySafety::deduplicated &&
+                            profile.deduplicationScope == DeduplicationScope::all;
+    if (command.firstRunAt < 0 || profile.retrySafety == RetrySafety::replayable || repeatRecognised)
+      actions.shed(command, settings.retryAfterSupported && overloaded ? settings.maxRetryAfter : 0);
     else
-      actions.fail(cmd);
-    close(cmd);
+      actions.fail(command);
+    releaseIfDone(command);
   }
 
-  // Over, and no send without an outcome: its key goes on.
-  void close(CommandState& cmd) {
-    if (budgetScheduler && cmd.over && !cmd.node)
-      budgetScheduler->remove(cmd);
-    if (!cmd.over || cmd.node || !cmd.key)
+  // Once a command has ended and has no send out, the budget scheduler and its ordering key are done with it.
+  void releaseIfDone(CommandState& command) {
+    if (budgetScheduler && command.ended && !command.engine)
+      budgetScheduler->remove(command);
+    if (!command.ended || command.engine || !command.orderingKey)
       return;
-    std::erase_if(keys[*cmd.key].line, [&](auto& other) { return other.get() == &cmd; });
+    std::erase_if(keyQueues[*command.orderingKey].commands,
+                  [&](auto& other) { return other.get() == &command; });
   }
 
-  void releaseKeys() {  // rule 5: one command of a key at a time, in order, after the quiet time
-    std::erase_if(keys, [&](auto& it) { return it.second.line.empty() && it.second.quietUntil <= now; });
-    for (auto& [id, key] : keys) {
-      if (key.line.empty())
+  // Rule 5: commands of one ordering key run one at a time and in order, after the quiet period.
+  void releaseOrderingKeys() {
+    std::erase_if(keyQueues, [&](auto& entry) {
+      return entry.second.commands.empty() && entry.second.quietUntil <= now;
+    });
+    for (auto& [id, key] : keyQueues) {
+      if (key.commands.empty())
         continue;
-      CommandState& first = *key.line.front();
-      if (first.held || first.over || first.node || first.sends > 0)
+      CommandState& first = *key.commands.front();
+      if (first.waiting || first.ended || first.engine || first.sendCount > 0)
         continue;
       if (key.quietUntil <= now)
-        hold(first, false);
+        enqueue(first, false);
       else
-        wakeAt(key.quietUntil);
+        scheduleWakeUp(key.quietUntil);
     }
   }
 
-  double worthNow(const CommandState& cmd) const {
-    return cmd.worth * (now + kTooLate * cmd.atRest() > cmd.targetAt ? cmd.profile().lateBenefitShare : 1);
+  // The benefit that an answer can still have if the command starts now.
+  double currentBenefit(const CommandState& command) const {
+    return command.benefit * (now + kMinRunShare * command.idleLatency() > command.targetTime
+                                  ? command.profile().lateBenefitShare
+                                  : 1);
   }
-  bool hopeless(const CommandState& cmd) const {
-    double left = cmd.timeoutAt - now;
-    return left < 2 * kSweep || left < kTooLate * cmd.atRest() || worthNow(cmd) <= 0;
+  bool isHopeless(const CommandState& command) const {
+    double remaining = command.deadline - now;
+    return remaining < 2 * kSweepInterval || remaining < kMinRunShare * command.idleLatency() ||
+           currentBenefit(command) <= 0;
   }
 
-  double windowEnd(
-      const CommandState& cmd) const {  // of the time in which engines know a repeat, to the safe side
-    bool known = cmd.ranAt >= 0 && cmd.profile().retrySafety == RetrySafety::deduplicated;
-    return known ? cmd.ranAt + cmd.profile().deduplicationWindow : HUGE_VAL;
+  // Until when engines surely recognise a repeat of a command that may have run; infinite for all others.
+  double deduplicationEnd(const CommandState& command) const {
+    bool deduplicates = command.firstRunAt >= 0 && command.profile().retrySafety == RetrySafety::deduplicated;
+    return deduplicates ? command.firstRunAt + command.profile().deduplicationWindow : HUGE_VAL;
   }
 
-  // Rules 2 and 7 and the house rule, asked when a command is held again and once more at its send.
-  bool mayGoAgain(const CommandState& cmd) {
-    const Profile& profile = cmd.profile();
-    if (overload || cmd.sends > kFurther || cmd.sends >= settings.maxSends || cmd.streaming)
+  // Whether a command may be sent again: rule 2 (no second effect), rule 7 (retry budget), and no retries
+  // under overload, after a streamed answer has begun, or without benefit. Checked when the command is queued
+  // again and once more before it is sent.
+  bool mayRetry(const CommandState& command) {
+    const Profile& profile = command.profile();
+    if (overloaded || command.sendCount > kMaxRetries || command.sendCount >= settings.maxSends ||
+        command.streaming)
       return false;
-    if (now + cmd.atRest() > cmd.timeoutAt || worthNow(cmd) <= 0)
+    if (now + command.idleLatency() > command.deadline || currentBenefit(command) <= 0)
       return false;
-    if (cmd.ranAt >= 0 && profile.retrySafety == RetrySafety::nonReplayable)
+    if (command.firstRunAt >= 0 && profile.retrySafety == RetrySafety::nonReplayable)
       return false;
-    if (now >= windowEnd(cmd))
+    if (now >= deduplicationEnd(command))
       return false;
-    double budget = settings.retryBudgetMinimum +
-                    settings.retryBudgetRatio * takenInSpan.lowerBound(now);  // to the safe side
-    return settings.retryBudgetWindow <= 0 || further.upperBound(now) + 1 <= budget;
+    // Both counts err towards fewer retries.
+    double budget =
+        settings.retryBudgetMinimum + settings.retryBudgetRatio * arrivalsInBudgetWindow.lowerBound(now);
+    return settings.retryBudgetWindow <= 0 || retries.upperBound(now) + 1 <= budget;
   }
 
-  void again(CommandState& cmd) {
-    if (!mayGoAgain(cmd))
-      return end(cmd);
-    hold(cmd, true);
-    held.push_back(cmd.shared_from_this());
+  void retryOrEnd(CommandState& command) {
+    if (!mayRetry(command))
+      return shedOrFail(command);
+    enqueue(command, true);
+    waiting.push_back(command.shared_from_this());
   }
 
-  void seeReport(TrackedEngine& node, const LoadReport* report) {
+  void applyReport(TrackedEngine& engine, const LoadReport* report) {
     if (!report)
       return;
-    if (report->inFlight && usualRun > 0)  // in threads, by the usual work of a command over its run
-      node.others = std::max(0.0, *report->inFlight * usualWork / usualRun - node.threads),
-      node.reportedAt = now;
-    if (report->utilisation.value_or(1) < kUseCut)
-      node.idleUntil = now + kReportFresh;
-    bool busy = report->utilisation.value_or(0) >= kUseCut || report->diskUtilisation.value_or(0) > 0.97;
-    if (busy || report->queued.value_or(0) > 0.5)
-      press(node);
+    if (report->inFlight && usualRunTime > 0) {
+      // Commands become threads by the mean number of threads, usual work over usual run time.
+      engine.otherThreads = std::max(0.0, *report->inFlight * usualWork / usualRunTime - engine.threadsInUse);
+      engine.reportedAt = now;
+    }
+    if (report->utilisation.value_or(1) < kBusyUtilisation)
+      engine.idleUntil = now + kIdleReportLifetime;
+    bool busy = report->utilisation.value_or(0) >= kBusyUtilisation ||
+                report->diskUtilisation.value_or(0) > kBusyDiskUtilisation;
+    if (busy || report->queued.value_or(0) > kBusyQueueLength)
+      notePressure(engine);
   }
 
-  void press(TrackedEngine& node) {
-    if (!node.pressed)
-      node.pressed = true, node.limit = 1;
-    node.pressedUntil = now + kPressureHold;
+  // An engine has shown pressure: the mark applies to it for a while.
+  void notePressure(TrackedEngine& engine) {
+    if (!engine.underPressure) {
+      engine.underPressure = true;
+      engine.markMultiple = 1;
+    }
+    engine.pressureUntil = now + kPressureHold;
   }
 
-  void learn(CommandState& cmd, double took, const ResourceUsage* usage) {
-    ProfileStatistics& row = cmd.row;
+  // Corrects the estimates of a profile by an answered command.
+  void learnFromAnswer(CommandState& command, double took, const ResourceUsage* usage) {
+    ProfileStatistics& row = command.statistics;
     if (usage && usage->work > 0) {
-      auto toward = [](double& ratio, double seen) { ratio *= std::pow(std::clamp(seen, .1, 10.), kLearn); };
-      if (cmd.estimate > 0)
-        toward(row.workRatio, usage->work / cmd.estimate / row.workRatio);
-      double raw = cmd.estimateMb * row.memoryRatio;  // by the ratio of now: an old one would swing up
-      if (usage->memoryMb > 0 && raw > 0)
-        toward(row.memoryRatio, usage->memoryMb / raw);
-      cmd.work = usage->work;
+      auto correct = [](double& ratio, double factor) {
+        ratio *= std::pow(std::clamp(factor, .1, 10.), kEwmaWeight);
+      };
+      if (command.estimatedWork > 0)
+        correct(row.workRatio, usage->work / command.estimatedWork / row.workRatio);
+      // With the present ratio: against the one at arrival, many commands out at once would make it
+      // overshoot.
+      double estimateMb = command.estimatedMemoryMb * row.memoryRatio;
+      if (usage->memoryMb > 0 && estimateMb > 0)
+        correct(row.memoryRatio, usage->memoryMb / estimateMb);
+      command.work = usage->work;
     }
-    done.add(now, cmd.work), doneLong.add(now, cmd.work);
-    double ratio = took / cmd.run();  // the best: a low quantile of latency over work
-    row.best = std::clamp(row.best * (ratio < row.best ? 0.97 : 1.005), 0.4, 1.5);
+    recentWork.add(now, command.work);
+    completedWork.add(now, command.work);
+    // Falls faster than it rises, so it settles at a low quantile of latency over run time.
+    double ratio = took / command.runTime();
+    row.idleLatencyRatio = std::clamp(
+        row.idleLatencyRatio * (ratio < row.idleLatencyRatio ? kIdleRatioDecrease : kIdleRatioIncrease), 0.4,
+        1.5);
   }
 
-  // --- engines
-  void updateEngines(EngineListKind kind, const std::vector<EngineRecord>& given) override {
-    if (kind == EngineListKind::error)
-      return askAt = now + chance.uniformBetween(0.5, 1.0), wakeAt(askAt);
-    if (!std::exchange(listSeen, true) && settings.engineListOnRequest)
+  // --- Engines
+  void updateEngines(EngineListKind kind, const std::vector<EngineRecord>& records) override {
+    if (kind == EngineListKind::error) {
+      listRequestAt = now + random.uniformBetween(kListRetryMin, kListRetryMax);
+      return scheduleWakeUp(listRequestAt);
+    }
+    if (!std::exchange(listReceived, true) && settings.engineListOnRequest)
       actions.requestEngineList();
     if (kind == EngineListKind::full)
-      for (auto& [id, node] : nodes)
-        node->listed = false, node->gone = true;
-    for (auto& row : given) {
-      auto& slot = nodes[row.id];
-      if (!slot) {
-        slot = std::make_unique<TrackedEngine>();
-        slot->id = row.id, slot->home = false;
-        for (size_t i = 0; i < rows.size(); ++i)
-          slot->credit.push_back(chance.uniformBetween(-2, 0));
-        slot->coldWork = SlidingWindowSum(std::max(settings.coldOverloadWindow * 1.1, 0.001));
+      for (auto& [id, engine] : engines) {
+        engine->inService = false;
+        engine->removed = true;
       }
-      TrackedEngine& node = *slot;
-      node.zone = row.zone, node.kind = row.kind, node.cell = row.cell;
+    for (auto& record : records) {
+      auto& entry = engines[record.id];
+      if (!entry) {
+        entry = std::make_unique<TrackedEngine>();
+        entry->id = record.id;
+        entry->preferred = false;
+        for (size_t i = 0; i < statistics.size(); ++i)
+          entry->sendCredit.push_back(random.uniformBetween(-2, 0));
+        entry->coldWork = SlidingWindowSum(std::max(settings.coldOverloadWindow * 1.1, 0.001));
+      }
+      TrackedEngine& engine = *entry;
+      engine.zone = record.zone;
+      engine.kind = record.kind;
+      engine.cell = record.cell;
       for (auto& known : settings.engineKinds)
-        if (known.name == row.kind)
-          node.cores = std::max(known.cores, 1.0), node.memoryMb = known.memoryMb;
-      node.homeRank = std::log(mix(row.id, salt)) / node.cores;
-      node.listed = row.state == EngineState::inService;  // rule 3: at once, whatever the grace
-      node.gone = row.state == EngineState::removed, node.place = row.rank.value_or(settings.ordinal);
-      if (std::exchange(node.startedAt, row.startedAt) != row.startedAt)
-        node.restUntil = std::min(node.restUntil, now);
+        if (known.name == record.kind) {
+          engine.cores = std::max(known.cores, 1.0);
+          engine.memoryMb = known.memoryMb;
+        }
+      engine.preferenceRank = std::log(rendezvousHash(record.id, hashKey)) / engine.cores;
+      // Rule 3: nothing new to a draining engine, from now on and whatever its grace period.
+      engine.inService = record.state == EngineState::inService;
+      engine.removed = record.state == EngineState::removed;
+      engine.gatewayRank = record.rank.value_or(settings.ordinal);
+      // A restart ends the wait for a trial.
+      if (std::exchange(engine.startedAt, record.startedAt) != record.startedAt)
+        engine.ejectedUntil = std::min(engine.ejectedUntil, now);
     }
-    chooseHome();
+    choosePreferredEngines();
   }
 
-  // The nodes that this gateway sends to first: as many as its sends keep warm, others in each gateway.
-  void chooseHome() {
-    std::vector<TrackedEngine*> own;
-    for (auto& [id, node] : nodes) {
-      bool up = node->listed && (!node->resting || now >= node->restUntil);
-      if (node->home = up && !byTurns(*node); node->home)
-        own.push_back(node.get());
+  // Chooses the subset of engines that this gateway sends to first: as many as its sends keep warm, and
+  // others in each gateway (rendezvous hashing by the gateway's seed).
+  void choosePreferredEngines() {
+    std::vector<TrackedEngine*> candidates;
+    for (auto& [id, engine] : engines) {
+      bool usable = engine->inService && (!engine->ejected || now >= engine->ejectedUntil);
+      if (engine->preferred = usable && !usesSlots(*engine); engine->preferred)
+        candidates.push_back(engine.get());
     }
-    double all = double(own.size());
-    homes = std::min(std::max(kHomeLeast, std::round(kHomeSpan * taken.upperBound(now) / seen())), all);
-    std::ranges::nth_element(own, own.begin() + int(homes), std::greater{}, &TrackedEngine::homeRank);
-    homeCores = 0;
-    for (size_t i = 0; i < own.size(); ++i)
-      if (own[i]->home = double(i) < homes; own[i]->home)
-        homeCores += able(*own[i]);
+    double available = double(candidates.size());
+    preferredCount = std::min(
+        std::max(kMinPreferred, std::round(kPreferredWindow * arrivals.upperBound(now) / trafficSpan())),
+        available);
+    std::ranges::nth_element(candidates, candidates.begin() + int(preferredCount), std::greater{},
+                             &TrackedEngine::preferenceRank);
+    preferredCapacity = 0;
+    for (size_t i = 0; i < candidates.size(); ++i)
+      if (candidates[i]->preferred = double(i) < preferredCount; candidates[i]->preferred)
+        preferredCapacity += capacity(*candidates[i]);
   }
 
   void probeFinished(uint32_t id, Outcome, const LoadReport* report) override {
-    if (auto found = nodes.find(id); found != nodes.end())
-      seeReport(*found->second, report);
+    if (auto found = engines.find(id); found != engines.end())
+      applyReport(*found->second, report);
   }
 
-  double usualOthers() const {  // what we have out says little of the others where few sends come to a node
-    double ours = std::max(threads - turnThreads, 0.0) / std::max(cores - turnCores, 1.0) * (1 / share() - 1);
-    return (ours + sparse * told) / (1 + sparse * tellers);
+  // Threads a core that the other gateways are assumed to run at an engine: as many as this gateway in
+  // proportion. Where sends are sparse our own say little, and load reports count instead.
+  double usualOtherLoad() const {
+    double byOwnSends = std::max(threadsInUse - slottedThreads, 0.0) /
+                        std::max(availableCores - slottedCores, 1.0) * (1 / gatewayShare() - 1);
+    return (byOwnSends + sparsity * weightedOtherLoad) / (1 + sparsity * totalReportWeight);
   }
-  // Threads a core of the other gateways there: as many as ours at all nodes together (a mark's part may be
-  // less than one thread a node), but for what the node reported, which fades.
-  double others(const TrackedEngine& node) const {
-    double usual = byTurns(node) ? 0 : usualOthers(), fade = tells(node);
-    return usual + (node.others / able(node) - usual) * fade;
+  // Threads a core of the other gateways at an engine: the usual load, corrected by the engine's last report,
+  // whose weight decays. The usual load is a mean over all engines, as a gateway's part of the mark may be
+  // less than one thread an engine.
+  double otherLoad(const TrackedEngine& engine) const {
+    double usual = usesSlots(engine) ? 0 : usualOtherLoad();
+    double weight = reportWeight(engine);
+    return usual + (engine.otherThreads / capacity(engine) - usual) * weight;
   }
 
-  double fill(const TrackedEngine& node,
-              const CommandState& cmd) const {  // part of its place that a node has in use
-    double half = cmd.profile().threads / 2.0;
-    double use = (node.threads + half) / able(node) + others(node);
-    if (!byTurns(node))
-      use += (tellers > 0 ? 1 - sparse : 1) * half / std::max(cores, 1.0) / share();
-    use /= kMark * (1 - kUnseen * sparse) * node.limit;
-    return threads > 0 ? use : std::min(use, kEmptyUse);  // or a wide command of a small gateway never starts
+  // Use of an engine with this command, as a multiple of its mark.
+  double markUse(const TrackedEngine& engine, const CommandState& command) const {
+    double halfThreads = command.profile().threads / 2.0;
+    double use = (engine.threadsInUse + halfThreads) / capacity(engine) + otherLoad(engine);
+    // Other gateways are about to start commands too, as far as no reports tell how many.
+    if (!usesSlots(engine))
+      use += (totalReportWeight > 0 ? 1 - sparsity : 1) * halfThreads / std::max(availableCores, 1.0) /
+             gatewayShare();
+    use /= kMark * (1 - kSparseReserve * sparsity) * engine.markMultiple;
+    // Without the cap a wide command of a small gateway would never start.
+    return threadsInUse > 0 ? use : std::min(use, kIdleGatewayMaxUse);
   }
 
-  bool fits(const TrackedEngine& node,
-            const CommandState& cmd) const {  // memory runs short in one step: no chance above it
-    double ours = std::min(1.0, part() * (node.pressed ? node.limit : 1));
+  // Whether the engine has memory for the command. Unlike threads this is a hard limit: memory runs short all
+  // at once.
+  bool fitsMemory(const TrackedEngine& engine, const CommandState& command) const {
+    double ownShare = std::min(1.0, trafficShare() * (engine.underPressure ? engine.markMultiple : 1));
     if (settings.memoryShortagePolicy == MemoryShortagePolicy::overcommit)
-      ours = share();
-    double theirs = (node.pressed ? memory + cmd.memory : usualMemory) / std::max(memoryMb, 1.0);
-    theirs *= (1 / ours - 1) * (usualOthers() > 0 ? std::max(1.0, others(node) / usualOthers()) : 1);
-    if (tellers > 0)
-      theirs += sparse / 4 * (others(node) * able(node) * usualMb / node.memoryMb - theirs);
-    double use = (node.memory + cmd.memory) / node.memoryMb + (byTurns(node) ? 0 : theirs);
-    return node.memoryMb <= 0 || memory <= 0 || use <= kMemoryUse * (1 - kUnseen * sparse);
-  }
-
-  bool holdsGroup(const TrackedEngine& node,
-                  const CommandState& cmd) const {  // does a load of ours hold its group there?
-    return (cmd.profile().yieldsToBulkLoads || cmd.profile().bulkLoad) &&
-           std::ranges::any_of(node.out, [&](auto& other) {
-             return other->tables == cmd.tables && other->profile().bulkLoad;
+      ownShare = gatewayShare();
+    // Use by the other gateways, in proportion to our own at all engines.
+    double others = (engine.underPressure ? memoryInUse + command.memoryMb : usualMemoryInUse) /
+                    std::max(availableMemoryMb, 1.0);
+    others *=
+        (1 / ownShare - 1) * (usualOtherLoad() > 0 ? std::max(1.0, otherLoad(engine) / usualOtherLoad()) : 1);
+    // Where sends are sparse, the threads of its report count for up to a quarter.
+    if (totalReportWeight > 0)
+      others += sparsity / 4 *
+                (otherLoad(engine) * capacity(engine) * usualMemoryPerThread / engine.memoryMb - others);
+    double use = (engine.memoryInUse + command.memoryMb) / engine.memoryMb + (usesSlots(engine) ? 0 : others);
+    return engine.memoryMb <= 0 || memoryInUse <= 0 || use <= kMaxMemoryUse * (1 - kSparseReserve * sparsity);
+  }
+
+  // Whether a bulk load of ours holds the command's table group at the engine.
+  bool blockedByBulkLoad(const TrackedEngine& engine, const CommandState& command) const {
+    return (command.profile().yieldsToBulkLoads || command.profile().bulkLoad) &&
+           std::ranges::any_of(engine.outstanding, [&](auto& other) {
+             return other->tableGroup == command.tableGroup && other->profile().bulkLoad;
            });
   }
 
-  // Rule 4 among many, as 1/N of a cold node's budget is less than a command: in each slot of its time, from
-  // its start on, a few known by a hash have all of it. A window touches three slots; a fourth by slow sends.
-  bool byTurns(const TrackedEngine& node) const {
-    return cold(node) && node.place >= 0 && share() < kByTurns;
+  // Whether the gateways share a cold engine by time slots. Among many, 1/N of its budget is less than one
+  // command (rule 4, no overload of a cold engine). So its cold time is cut into slots from its start on, and
+  // in each slot a few gateways, selected by a hash, have the whole budget.
+  bool usesSlots(const TrackedEngine& engine) const {
+    return isCold(engine) && engine.gatewayRank >= 0 && gatewayShare() < kSlottedShare;
   }
-  double right(TrackedEngine& node) {
+  // Core-seconds that this gateway may still send to a cold engine.
+  double coldAllowance(TrackedEngine& engine) {
     double budget =
-               settings.coldOverloadFactor * settings.coldCapacity * node.cores * settings.coldOverloadWindow,
-           span = settings.coldOverloadWindow / kSlots;
-    if (!byTurns(node))
-      return kSafeCapacity * budget * share() - node.coldWork.upperBound(now);
+        settings.coldOverloadFactor * settings.coldCapacity * engine.cores * settings.coldOverloadWindow;
+    double slotLength = settings.coldOverloadWindow / kSlotsPerWindow;
+    if (!usesSlots(engine))
+      return kColdBudgetShare * budget * gatewayShare() - engine.coldWork.upperBound(now);
+    // Without an ordinal only the rank among the engine's users is known: room for 2 x (sqrt(n) + 1) commands
+    // is added, where the budget pays for n.
     if (settings.ordinal < 0 && usualWork > 0)
       budget += 2 * (std::sqrt(budget / usualWork) + 1) * usualWork;
-    int64_t slot = int64_t(std::floor((now - *node.startedAt) / span)), holds = 0;
-    for (int i = 0; i < int(kHolders); ++i)
-      holds += int(mix(node.id, ~uint64_t(slot * int(kHolders) + i)) * settings.gatewayCount) == node.place;
-    if (holds == 0 || *node.startedAt + double(slot) * span < openedAt)
-      return 0;  // an earlier life had it
-    if (std::exchange(node.slot, slot) != slot)
-      node.slotWork = 0;
-    return kSlotPart * budget / kHolders - node.slotWork;
-  }
-
-  bool allowed(TrackedEngine& node, const CommandState& cmd) {
-    const Profile& profile = cmd.profile();
-    auto open = [](const std::vector<std::string>& names, const std::string& name) {
+    int64_t slot = int64_t(std::floor((now - *engine.startedAt) / slotLength));
+    int64_t held = 0;
+    for (int i = 0; i < int(kSlotHolders); ++i)
+      held += int(rendezvousHash(engine.id, ~uint64_t(slot * int(kSlotHolders) + i)) *
+                  settings.gatewayCount) == engine.gatewayRank;
+    // A slot that began before this process started may have been used by its predecessor.
+    if (held == 0 || *engine.startedAt + double(slot) * slotLength < openedAt)
+      return 0;
+    if (std::exchange(engine.lastSlot, slot) != slot)
+      engine.slotWork = 0;
+    return kSlotBudgetShare * budget / kSlotHolders - engine.slotWork;
+  }
+
+  // Whether a command may be sent to an engine now, apart from the mark.
+  bool isEligible(TrackedEngine& engine, const CommandState& command) {
+    const Profile& profile = command.profile();
+    // Rule 3 (nothing new to a draining engine) and rule 6 (allowed zones and kinds).
+    auto allows = [](const std::vector<std::string>& names, const std::string& name) {
       return names.empty() || std::ranges::find(names, name) != names.end();
     };
-    if (!node.listed || !open(profile.allowedZones, node.zone) || !open(profile.allowedKinds, node.kind))
+    if (!engine.inService || !allows(profile.allowedZones, engine.zone) ||
+        !allows(profile.allowedKinds, engine.kind))
       return false;
-    if (cmd.ranAt >= 0 &&
-        profile.retrySafety == RetrySafety::deduplicated) {  // rule 2: inside the group that knows it
-      if (profile.deduplicationScope != DeduplicationScope::all && node.zone != cmd.ranZone)
+    // Rule 2 (no second effect): a repeat stays among the engines that recognise it.
+    if (command.firstRunAt >= 0 && profile.retrySafety == RetrySafety::deduplicated) {
+      if (profile.deduplicationScope != DeduplicationScope::all && engine.zone != command.firstRunZone)
         return false;
-      if (profile.deduplicationScope == DeduplicationScope::cell && node.cell != cmd.ranCell)
+      if (profile.deduplicationScope == DeduplicationScope::cell && engine.cell != command.firstRunCell)
         return false;
     }
-    if (now < node.fullUntil)
+    if (now < engine.overloadedUntil)
       return false;
-    if (node.resting) {  // trials: one at a time, of what may run again and is short
-      if (now < node.restUntil || node.trialOut)
+    // An ejected engine gets one trial at a time, a short command that may be sent again.
+    if (engine.ejected) {
+      if (now < engine.ejectedUntil || engine.trialOut)
         return false;
-      bool fit = profile.retrySafety == RetrySafety::replayable && cmd.run() <= usualRun && cmd.sends == 0;
-      if (!fit && now < node.restUntil + kRestLast)
+      bool suitsTrial = profile.retrySafety == RetrySafety::replayable && command.runTime() <= usualRunTime &&
+                        command.sendCount == 0;
+      if (!suitsTrial && now < engine.ejectedUntil + kTrialPatience)
         return false;
     }
-    if (cold(node)) {  // rule 4: our part of the budget, by the usual work of the profile
-      bool turns = byTurns(node);
-      if (!turns && now < openedAt + settings.coldOverloadWindow)
-        return false;  // an earlier life may have sent
-      if (std::max(cmd.work, turns ? 0 : cmd.row.usualWork) > right(node))
+    // Rule 4: a cold engine gets no more than our part of its budget, by the usual work of the profile.
+    if (isCold(engine)) {
+      bool slotted = usesSlots(engine);
+      // A predecessor of this process may have sent work there.
+      if (!slotted && now < openedAt + settings.coldOverloadWindow)
+        return false;
+      if (std::max(command.work, slotted ? 0 : command.statistics.usualWork) > coldAllowance(engine))
         return false;
     }
-    return fits(node, cmd) && !holdsGroup(node, cmd);
+    return fitsMemory(engine, command) && !blockedByBulkLoad(engine, command);
   }
 
-  // The least-loaded engine, or rather the first in its group's rank that stands not far above it.
-  // Nodes with a place come before those without; a crossing of zones, where it is charged, counts as load.
-  TrackedEngine* pick(CommandState& cmd) {
-    std::vector<std::tuple<TrackedEngine*, double, double>>
-        choices[2];  // node, load, rank; [1]: with a place
-    bool apart = loadsHold && (cmd.profile().bulkLoad || cmd.profile().yieldsToBulkLoads);
-    for (auto& [id, node] : nodes) {
-      if (!allowed(*node, cmd))
+  // The engine for a command, or null. Engines with room come before those above the mark; among them the
+  // first by weighted rendezvous hashing of the table group whose load is within a band above the least.
+  TrackedEngine* selectEngine(CommandState& command) {
+    // Engine, load, rendezvous rank; [1]: with room.
+    std::vector<std::tuple<TrackedEngine*, double, double>> candidates[2];
+    bool separate = avoidsBulkLoads && (command.profile().bulkLoad || command.profile().yieldsToBulkLoads);
+    for (auto& [id, engine] : engines) {
+      if (!isEligible(*engine, command))
         continue;
-      double extra = settings.crossZoneCost > 0 && node->zone != settings.zone ? kFarZone : 0;
-      double hash = mix(id, cmd.tables), rank = std::log(hash) / node->cores;
-      if (apart && (hash < kLoadSide) != cmd.profile().bulkLoad)
-        extra += kApart;  // loads keep to their side
-      if (node->resting && evidence() >= kTrials)
-        extra -= 1e6;  // a trial that is due is taken
-      if (node->home && node->credit[&cmd.row - rows.data()] < 0)
-        extra += kOver * sparse;
-      if (byTurns(*node))
-        extra -= pressure ? kOver : 0;  // a turn comes seldom and passes
-      else if (!node->home)
-        extra += kAway;
-      if (cmd.avoid == id)
-        extra += 1e6;
-      bool place = !node->pressed || fill(*node, cmd) < 1 || now < node->idleUntil;
-      choices[place].push_back({node.get(), load(*node) + extra, rank});
+      double extraLoad = settings.crossZoneCost > 0 && engine->zone != settings.zone ? kCrossZoneLoad : 0;
+      double hash = rendezvousHash(id, command.tableGroup);
+      double rank = std::log(hash) / engine->cores;
+      // Bulk loads and the commands that yield to them keep to different engines.
+      if (separate && (hash < kBulkLoadShare) != command.profile().bulkLoad)
+        extraLoad += kWrongSideLoad;
+      // A trial that is due is taken.
+      if (engine->ejected && evidenceNeeded() >= kMaxEvidence)
+        extraLoad -= kDecisiveLoad;
+      if (engine->preferred && engine->sendCredit[&command.statistics - statistics.data()] < 0)
+        extraLoad += kOverShareLoad * sparsity;
+      // A slot comes seldom and passes.
+      if (usesSlots(*engine))
+        extraLoad -= underPressure ? kSlotLoadCredit : 0;
+      else if (!engine->preferred)
+        extraLoad += kNonPreferredLoad;
+      if (command.failedEngine == id)
+        extraLoad += kDecisiveLoad;
+      bool hasRoom = !engine->underPressure || markUse(*engine, command) < 1 || now < engine->idleUntil;
+      candidates[hasRoom].push_back({engine.get(), estimatedLoad(*engine) + extraLoad, rank});
     }
-    auto& open = choices[choices[1].empty() ? 0 : 1];
-    double least = HUGE_VAL, best = -HUGE_VAL;
-    for (auto& [node, load, rank] : open)
-      least = std::min(least, load);
-    TrackedEngine* first = nullptr;
-    for (auto& [node, load, rank] : open)
-      if (load <= least + kBand && rank > best)
-        first = node, best = rank;
-    return first;
-  }
-
-  bool start(CommandState& cmd) {
-    TrackedEngine* node = pick(cmd);
-    double use = node && node->pressed && now >= node->idleUntil ? fill(*node, cmd) : 0;
-    if (!node || (use >= 1 && chance.uniform() >= 2 - use))
+    auto& open = candidates[candidates[1].empty() ? 0 : 1];
+    double leastLoad = HUGE_VAL;
+    double bestRank = -HUGE_VAL;
+    for (auto& [engine, load, rank] : open)
+      leastLoad = std::min(leastLoad, load);
+    TrackedEngine* selected = nullptr;
+    for (auto& [engine, load, rank] : open)
+      if (load <= leastLoad + kLoadBand && rank > bestRank) {
+        selected = engine;
+        bestRank = rank;
+      }
+    return selected;
+  }
+
+  // Sends the command if an engine is eligible and admits it: surely up to the mark, above it with a
+  // probability that falls to 0 at twice the mark.
+  bool tryStart(CommandState& command) {
+    TrackedEngine* engine = selectEngine(command);
+    double use = engine && engine->underPressure && now >= engine->idleUntil ? markUse(*engine, command) : 0;
+    if (!engine || (use >= 1 && random.uniform() >= 2 - use))
       return false;
-    return send(cmd, *node), true;
+    send(command, *engine);
+    return true;
   }
 
-  double timeout(const CommandState& cmd, const TrackedEngine& node) const {
-    bool last = cmd.sends > kFurther || cmd.sends >= settings.maxSends;  // counted after this send
-    if (cmd.profile().retrySafety == RetrySafety::nonReplayable || last || cmd.lowered)
+  // Seconds; 0: none but the command's deadline.
+  double sendTimeout(const CommandState& command, const TrackedEngine& engine) const {
+    // The send that this is for is counted already.
+    bool isLastSend = command.sendCount > kMaxRetries || command.sendCount >= settings.maxSends;
+    if (command.profile().retrySafety == RetrySafety::nonReplayable || isLastSend || command.lowPriority)
       return 0;
-    double usual = cmd.atRest() * std::clamp(node.stretch, 1.0, kRatioCap);
+    double expected = command.idleLatency() * std::clamp(engine.latencyRatio, 1.0, kMaxLatencyRatio);
+    // A cancel frees the engine, so a bad query plan can be cut short.
     if (settings.cancelSupported)
-      return kTimeoutRuns * usual + 2 * kSweep;  // it frees the node: a bad plan is cut
-    if ((overload || node.pressed) && !node.resting)
-      return 0;  // it would run on beside its successor
-    return std::max({kTimeoutRuns * usual, cmd.targetAt - now - kTimeoutRuns / 2 * usual, 6 * kSweep});
+      return kTimeoutRatio * expected + 2 * kSweepInterval;
+    // The command would run on beside its retry.
+    if ((overloaded || engine.underPressure) && !engine.ejected)
+      return 0;
+    return std::max({kTimeoutRatio * expected, command.targetTime - now - kTimeoutRatio / 2 * expected,
+                     6 * kSweepInterval});
   }
 
-  void send(CommandState& cmd, TrackedEngine& node) {
-    unhold(cmd);
+  void send(CommandState& command, TrackedEngine& engine) {
+    dequeue(command);
     if (budgetScheduler)
-      budgetScheduler->sendStarted(cmd);
-    cmd.node = &node, cmd.sentAt = now, cmd.grant = cmd.memory, cmd.cancelled = false;
-    if (cmd.sends++ > 0)
-      further.add(now, 1);
+      budgetScheduler->sendStarted(command);
+    command.engine = &engine;
+    command.sentAt = now;
+    command.reservedMb = command.memoryMb;
+    command.cancelled = false;
+    if (command.sendCount++ > 0)
+      retries.add(now, 1);
     int priority = 1;
-    if (settings.prioritiesSupported) {  // the shorter, the sooner; loads first where others wait for them
-      double run = cmd.run() / std::max(usualRun, 1e-6);
-      priority = run < 0.5 ? 3 : run < 1.5 ? 2 : run < 4 ? 1 : 0;
-      if (cmd.profile().bulkLoad && loadsHold)
+    if (settings.prioritiesSupported) {
+      // Shortest first; bulk loads first where other commands wait for them.
+      double relativeRunTime = command.runTime() / std::max(usualRunTime, 1e-6);
+      priority = relativeRunTime < 0.5 ? 3 : relativeRunTime < 1.5 ? 2 : relativeRunTime < 4 ? 1 : 0;
+      if (command.profile().bulkLoad && avoidsBulkLoads)
         priority = 3;
-      cmd.lowered = budgetScheduler && pressure &&
-                    !budgetScheduler->isGuaranteed(cmd);  // borrowed: what is guaranteed runs first
-      if (cmd.lowered)
+      // Under pressure, commands beyond their guarantee run after those within it.
+      command.lowPriority = budgetScheduler && underPressure && !budgetScheduler->isGuaranteed(command);
+      if (command.lowPriority)
         priority = 0;
     }
-    double most = node.memoryMb > 0 ? node.memoryMb * settings.maxMemoryGrantShare : HUGE_VAL;
-    double grant = settings.memoryGrantsSupported ? std::min(cmd.memory * kGrantSpare, most) : 0;
+    double maxGrant = engine.memoryMb > 0 ? engine.memoryMb * settings.maxMemoryGrantShare : HUGE_VAL;
+    double grant = settings.memoryGrantsSupported ? std::min(command.memoryMb * kGrantHeadroom, maxGrant) : 0;
     if (settings.prioritiesSupported || grant > 0)
-      actions.setPriorityAndMemory(cmd, priority, grant);
-    if (cold(node))
-      node.coldWork.add(now, std::max(cmd.work, cmd.row.usualWork)), node.slotWork += cmd.work;
-    if (node.resting)
-      cmd.trial = node.trialOut = true;
-    node.out.push_back(cmd.shared_from_this());
-    memory += cmd.grant;
-    threads += cmd.profile().threads, node.threads += cmd.profile().threads, node.memory += cmd.grant;
-    for (auto& [id, other] : nodes)
-      if (double& credit = other->credit[&cmd.row - rows.data()]; other->home)
-        credit = std::min(credit + kSpare * able(*other) / std::max(homeCores, 1.0), 0.0);
-    node.credit[&cmd.row - rows.data()] -= 1;
-    double wait = timeout(cmd, node);
-    actions.send(cmd, node.id, wait > 0 && now + wait < cmd.timeoutAt ? wait : 0, windowEnd(cmd));
-  }
-
-  // --- sweeps
-  void rest(TrackedEngine& node, const char* of, double is, double at) {
-    if (!node.resting)
-      --listed, ++resting, log("node %u rests: %s (%.2f against %.2f)", node.id, of, is, at);
-    bool relapse = node.resting || now < node.wellSince + kRestLast;
-    double longest = kRestLast * kTrials / evidence();  // a trial is dear where few sends come to one node
-    node.restTime = relapse ? std::min(node.restTime * 2, longest) : kRestFirst;
-    node.fails.add(now, std::exchange(node.late, 0));  // seen for a while yet: else one blames the next
-    node.resting = true, node.trials = 0, node.restUntil = now + node.restTime,
-    actions.ejectionChanged(node.id, true);
-  }
-
-  void well(TrackedEngine& node) {
-    node.resting = false, node.wellSince = now, node.fails = SlidingWindowSum(kFailSpan),
-    actions.ejectionChanged(node.id, false);
-    log("node %u is back: %d trials answered", node.id, node.trials);
-  }
-
-  // Failures that blame a node, trials that clear it: fewer where few sends come to one node.
-  double evidence() const {
-    return std::clamp((allOks + allFails) / std::max(1.0, listed) / kTrials, 1.0, kTrials);
-  }
-
-  // Health: a node is to blame only for what the others don't show at the same time. Overdue commands of one
-  // group that may all wait for one load count as one.
-  void judge(TrackedEngine& node) {
-    if (node.resting)
+      actions.setPriorityAndMemory(command, priority, grant);
+    if (isCold(engine)) {
+      engine.coldWork.add(now, std::max(command.work, command.statistics.usualWork));
+      engine.slotWork += command.work;
+    }
+    if (engine.ejected)
+      command.isTrial = engine.trialOut = true;
+    engine.outstanding.push_back(command.shared_from_this());
+    memoryInUse += command.reservedMb;
+    threadsInUse += command.profile().threads;
+    engine.threadsInUse += command.profile().threads;
+    engine.memoryInUse += command.reservedMb;
+    // Each preferred engine earns its share of a send, with some headroom; the chosen one pays for it.
+    for (auto& [id, other] : engines)
+      if (double& credit = other->sendCredit[&command.statistics - statistics.data()]; other->preferred)
+        credit =
+            std::min(credit + kSendShareHeadroom * capacity(*other) / std::max(preferredCapacity, 1.0), 0.0);
+    engine.sendCredit[&command.statistics - statistics.data()] -= 1;
+    double timeout = sendTimeout(command, engine);
+    actions.send(command, engine.id, timeout > 0 && now + timeout < command.deadline ? timeout : 0,
+                 deduplicationEnd(command));
+  }
+
+  // --- Outlier detection
+  // Ejects an engine, or prolongs its ejection after a failed trial. `figure` and `reference` go to the log.
+  void eject(TrackedEngine& engine, const char* reason, double figure, double reference) {
+    if (!engine.ejected) {
+      --engineCount;
+      ++ejectedCount;
+      log("node %u rests: %s (%.2f against %.2f)", engine.id, reason, figure, reference);
+    }
+    bool relapse = engine.ejected || now < engine.inServiceSince + kRelapseWindow;
+    // A trial is costly where few sends go to one engine, so ejections may last longer there.
+    double longest = kMaxEjection * kMaxEvidence / evidenceNeeded();
+    engine.ejectionTime = relapse ? std::min(engine.ejectionTime * 2, longest) : kMinEjection;
+    // Overdue sends count as failures for a while, or the next engine would seem worse than all others.
+    engine.failures.add(now, std::exchange(engine.overdue, 0));
+    engine.ejected = true;
+    engine.trialsAnswered = 0;
+    engine.ejectedUntil = now + engine.ejectionTime;
+    actions.ejectionChanged(engine.id, true);
+  }
+
+  void returnToService(TrackedEngine& engine) {
+    engine.ejected = false;
+    engine.inServiceSince = now;
+    engine.failures = SlidingWindowSum(kFailureWindow);
+    actions.ejectionChanged(engine.id, false);
+    log("node %u is back: %d trials answered", engine.id, engine.trialsAnswered);
+  }
+
+  // Failures that eject an engine, and answered trials that return it to service: fewer where few sends go to
+  // one engine.
+  double evidenceNeeded() const {
+    return std::clamp((totalAnswers + totalFailures) / std::max(1.0, engineCount) / kMaxEvidence, 1.0,
+                      kMaxEvidence);
+  }
+
+  // Ejects an engine that fails clearly more often than the others do at the same time. Overdue sends count
+  // as failures, those of one table group that may all wait for the same bulk load as one.
+  void detectOutlier(TrackedEngine& engine) {
+    if (engine.ejected)
       return;
-    double oks = node.oks.upperBound(now), nodeFails = node.fails.upperBound(now),
-           usual = std::clamp(stretch, 1.0, kRatioCap);
-    double otherFails = allFails - nodeFails - node.late, otherOks = allOks - oks;
+    double answers = engine.answers.upperBound(now);
+    double endedFailures = engine.failures.upperBound(now);
+    double usualRatio = std::clamp(latencyRatio, 1.0, kMaxLatencyRatio);
+    double otherFailures = totalFailures - endedFailures - engine.overdue;
+    double otherAnswers = totalAnswers - answers;
     std::set<uint64_t> groups;
-    allFails -= std::exchange(node.late, 0);
-    for (auto& cmd : node.out) {
-      double due = kQuiet + kTimeoutRuns * cmd->atRest() * usual * slow(node);
-      if (now - cmd->sentAt <= due || cmd->sentAt < node.wellSince)
+    totalFailures -= std::exchange(engine.overdue, 0);
+    for (auto& command : engine.outstanding) {
+      double expected =
+          kMinOverdueTime + kTimeoutRatio * command->idleLatency() * usualRatio * coldSlowdown(engine);
+      if (now - command->sentAt <= expected || command->sentAt < engine.inServiceSince)
         continue;
-      if (cmd->lowered)
+      if (command->lowPriority)
         continue;
-      if (!cmd->profile().yieldsToBulkLoads || (groups.insert(cmd->tables).second && groups.size() > 1))
-        ++node.late;
+      if (!command->profile().yieldsToBulkLoads ||
+          (groups.insert(command->tableGroup).second && groups.size() > 1))
+        ++engine.overdue;
     }
-    allFails += node.late;
-    double fails = nodeFails + node.late, share = fails / std::max(fails + oks, 1.0);
-    double others = otherFails / std::max(otherFails + otherOks, 1.0);
-    others += resting / (resting + listed);  // what those that rest can't do makes the others late
-    bool worse = (fails + 1) * otherOks > kFailLead * (otherFails + 1) * (oks + 1);  // by odds
-    if (fails < evidence() || share <= kFailShare + others / 2 || !worse)
+    totalFailures += engine.overdue;
+    double failures = endedFailures + engine.overdue;
+    double failureShare = failures / std::max(failures + answers, 1.0);
+    double otherShare = otherFailures / std::max(otherFailures + otherAnswers, 1.0);
+    // The capacity of ejected engines is missing, which makes the others late.
+    otherShare += ejectedCount / (ejectedCount + engineCount);
+    bool worseOdds = (failures + 1) * otherAnswers > kFailureOddsRatio * (otherFailures + 1) * (answers + 1);
+    if (failures < evidenceNeeded() || failureShare <= kMinFailureShare + otherShare / 2 || !worseOdds)
       return;
-    rest(node, "it fails", share, others);
+    eject(engine, "it fails", failureShare, otherShare);
     if (settings.cancelSupported)
-      for (auto& cmd : node.out)
-        if (!cmd->cancelled && cmd->profile().retrySafety != RetrySafety::nonReplayable)
-          cmd->cancelled = true, actions.cancel(*cmd, cmd->sends - 1);
+      for (auto& command : engine.outstanding)
+        if (!command->cancelled && command->profile().retrySafety != RetrySafety::nonReplayable) {
+          command->cancelled = true;
+          actions.cancel(*command, command->sendCount - 1);
+        }
   }
 
-  void moveMark(TrackedEngine& node) {
-    double took = node.took.upperBound(now), atRest = node.rest.upperBound(now);
-    for (auto& cmd : node.out) {  // what is overdue tells before it ends
-      double rest = cmd->atRest() * slow(node), past = std::min(now - cmd->sentAt, kRatioCap * rest);
-      if (past <= kFar * rest)
+  // Updates an engine's latency ratio and, under pressure, moves its mark: down while latency is far above
+  // that at an idle engine, up again afterwards.
+  void updateMark(TrackedEngine& engine) {
+    double latency = engine.latencySum.upperBound(now);
+    double idleLatency = engine.idleLatencySum.upperBound(now);
+    // Commands that are overdue count before they end.
+    for (auto& command : engine.outstanding) {
+      double expected = command->idleLatency() * coldSlowdown(engine);
+      double elapsed = std::min(now - command->sentAt, kMaxLatencyRatio * expected);
+      if (elapsed <= kPressureRatio * expected)
         continue;
-      took += past, atRest += rest;
-      if (!node.resting && past >= kRatioCap * rest)
-        lateTook += past, lateRest += rest;
+      latency += elapsed;
+      idleLatency += expected;
+      if (!engine.ejected && elapsed >= kMaxLatencyRatio * expected) {
+        fleetLatency += elapsed;
+        fleetIdleLatency += expected;
+      }
     }
-    double prior = kPrior * usualRun;  // few answers of one node say little: the fleet's stand beside them
-    node.stretch = atRest + prior > 0 ? (took + prior * stretch) / (atRest + prior) : 1;
-    bool far = node.stretch > kFar - kFarUnseen * sparse && !node.resting;
-    if (far)
-      press(node);
-    if (!node.pressed)
+    // A few answers of one engine say little, so the fleet's ratio is mixed in.
+    double prior = kPriorCommands * usualRunTime;
+    engine.latencyRatio =
+        idleLatency + prior > 0 ? (latency + prior * latencyRatio) / (idleLatency + prior) : 1;
+    bool slow = engine.latencyRatio > kPressureRatio - kSparsePressureReduction * sparsity && !engine.ejected;
+    if (slow)
+      notePressure(engine);
+    if (!engine.underPressure)
       return;
-    if (far) {  // well below the mark only where latency stays far off, as when disks jam
-      double least = node.stretch > kVeryFar ? kMarkLeast + (1 - kMarkLeast) * sparse : 1;
-      node.limit = std::max(std::min(least, node.limit), node.limit * kMarkFall);
-    } else if (now > node.pressedUntil - kPressureHold / 2)
-      node.limit *= 1 + kMarkRise * weight;
-    if (now > node.pressedUntil && node.limit > kMarkFree)
-      node.pressed = false;
-  }
-
-  // Ends what can't be in time and, while the backlog needs more than a part of all slack held, what is
-  // worth least for its work: bursts, costly commands, lost engines, retries. Hurts where estimates are off.
-  void shedHeld() {
-    for (auto& cmd : held)
-      if (!cmd->over && !cmd->node && hopeless(*cmd))
-        end(*cmd);
-    std::erase_if(held, [](auto& cmd) { return cmd->over || cmd->node; });
-    fresh = held.size();
-    double backlog = 0, slack = 0, worth = 0;
-    for (auto& cmd : held) {
-      backlog += cmd->work, worth += cmd->worth;
-      slack += cmd->worth * std::max(0.0, cmd->targetAt - now - cmd->atRest());
+    if (slow) {
+      // Well below the mark only under severe pressure, as when disks are saturated.
+      double least =
+          engine.latencyRatio > kSeverePressureRatio ? kSevereMarkMin + (1 - kSevereMarkMin) * sparsity : 1;
+      engine.markMultiple =
+          std::max(std::min(least, engine.markMultiple), engine.markMultiple * kMarkDecrease);
+    } else if (now > engine.pressureUntil - kPressureHold / 2) {
+      engine.markMultiple *= 1 + kMarkIncrease * newAnswerShare;
+    }
+    if (now > engine.pressureUntil && engine.markMultiple > kMarkRelease)
+      engine.underPressure = false;
+  }
+
+  // --- Load shedding Ends waiting commands that can't be in time. Under pressure, while the backlog needs
+  // more than a part of the slack of all waiting commands, it also ends those with the least benefit for
+  // their work. Protects against bursts, costly commands, lost engines and retries. Does harm where estimates
+  // are wrong.
+  void shedWaiting() {
+    for (auto& command : waiting)
+      if (!command->ended && !command->engine && isHopeless(*command))
+        shedOrFail(*command);
+    std::erase_if(waiting, [](auto& command) { return command->ended || command->engine; });
+    firstUnchecked = waiting.size();
+    double backlog = 0;
+    double weightedSlack = 0;
+    double totalBenefit = 0;
+    for (auto& command : waiting) {
+      backlog += command->work;
+      totalBenefit += command->benefit;
+      weightedSlack += command->benefit * std::max(0.0, command->targetTime - now - command->idleLatency());
     }
-    if (held.size() < 2 || cores <= 0)
-      return;  // what is held alone waits for nothing but a place
-    double ours = cores * share(), prior = kPrior * usualWork;  // few bills say little of our rate
-    double rate = std::max((done.upperBound(now) + prior) / (3 + prior / ours), 0.25 * ours);
-    double room = rate * kBacklog * slack / worth;
-    if (backlog <= room || !pressure)
+    // A single command waits for nothing but room at an engine.
+    if (waiting.size() < 2 || availableCores <= 0)
+      return;
+    // A little completed work says little about our rate, so our share of the cores is mixed in.
+    double ourCores = availableCores * gatewayShare();
+    double prior = kPriorCommands * usualWork;
+    double rate = std::max((recentWork.upperBound(now) + prior) / (kCompletionWindow + prior / ourCores),
+                           kMinRateShare * ourCores);
+    double room = rate * kBacklogSlackShare * weightedSlack / totalBenefit;
+    if (backlog <= room || !underPressure)
       return;
-    auto waiting = held;
-    std::ranges::stable_sort(waiting, {}, [&](auto& cmd) {  // who is within its guarantee goes last
-      return std::pair(budgetScheduler && budgetScheduler->isGuaranteed(*cmd), worthNow(*cmd) / cmd->work);
+    auto candidates = waiting;
+    // Commands within their guarantee are shed last.
+    std::ranges::stable_sort(candidates, {}, [&](auto& command) {
+      return std::pair(budgetScheduler && budgetScheduler->isGuaranteed(*command),
+                       currentBenefit(*command) / command->work);
     });
-    if (!overload)
+    if (!overloaded)
       log("overload: %.1f s of work held, room for %.1f", backlog, room);
-    overload = true, overloadUntil = now + kOverloadHold;
-    waiting.pop_back();
-    for (auto& cmd : waiting) {
-      bool sure = budgetScheduler &&
-                  budgetScheduler->isGuaranteed(*cmd);  // its places come back: it may have the whole slack
-      if (backlog <= (sure ? room / kBacklog : room))
+    overloaded = true;
+    overloadedUntil = now + kOverloadHold;
+    candidates.pop_back();
+    for (auto& command : candidates) {
+      // A guaranteed command gets its resources back from borrowers, so the backlog may take up the whole
+      // slack.
+      bool guaranteed = budgetScheduler && budgetScheduler->isGuaranteed(*command);
+      if (backlog <= (guaranteed ? room / kBacklogSlackShare : room))
         break;
-      backlog -= cmd->work;
-      end(*cmd);
+      backlog -= command->work;
+      shedOrFail(*command);
     }
   }
 
-  // Borrowed work makes room where a guarantee waits: lowered, or cancelled where it may go again (rules 2,
-  // 7). Guards against long borrowed runs that keep a team from its own. Hurts where another place is wanted.
+  // Preemption: a borrowing command makes room while one within its guarantee waits. Its priority is lowered,
+  // or its send cancelled if the command may be sent again (rule 2, no second effect; rule 7, retry budget).
+  // Protects against long borrowing commands that keep a tenant from its guarantee. Does harm where the
+  // waiting command needs room at another engine.
   void preempt() {
-    auto [found, cancel] = budgetScheduler->selectPreemption();
-    if (!found)
+    auto [selected, cancel] = budgetScheduler->selectPreemption();
+    if (!selected)
       return;
-    CommandState& cmd = static_cast<CommandState&>(*found);
-    if (settings.prioritiesSupported)
-      cmd.lowered = true,
-      actions.setPriorityAndMemory(cmd, 0, settings.memoryGrantsSupported ? cmd.grant : 0);
-    if (!cancel || !settings.cancelSupported || cmd.over || cmd.cancelled)
+    CommandState& command = static_cast<CommandState&>(*selected);
+    if (settings.prioritiesSupported) {
+      command.lowPriority = true;
+      actions.setPriorityAndMemory(command, 0, settings.memoryGrantsSupported ? command.reservedMb : 0);
+    }
+    if (!cancel || !settings.cancelSupported || command.ended || command.cancelled)
       return;
-    if (cmd.profile().retrySafety != RetrySafety::replayable || !mayGoAgain(cmd))
+    if (command.profile().retrySafety != RetrySafety::replayable || !mayRetry(command))
       return;
-    cmd.cancelled = true, actions.cancel(cmd, cmd.sends - 1);
+    command.cancelled = true;
+    actions.cancel(command, command.sendCount - 1);
   }
 
+  // --- Periodic work, every kSweepInterval
   void sweep() {
-    std::erase_if(nodes, [&](auto& it) { return it.second->over(now); });
-    bool any = false;
-    cores = memoryMb = listed = resting = turnCores = turnThreads = tellers = told = 0;
-    for (auto& [id, node] : nodes) {
-      resting += node->listed && node->resting;
-      if (!node->listed || node->resting)
+    std::erase_if(engines, [&](auto& entry) { return entry.second->isForgettable(now); });
+    // Totals over the engines in service.
+    bool anyPressure = false;
+    availableCores = availableMemoryMb = engineCount = ejectedCount = slottedCores = slottedThreads =
+        totalReportWeight = weightedOtherLoad = 0;
+    for (auto& [id, engine] : engines) {
+      ejectedCount += engine->inService && engine->ejected;
+      if (!engine->inService || engine->ejected)
         continue;
-      bool turns = byTurns(*node);
-      double place = able(*node) * (turns ? kTurnsUsed : 1), fade = turns ? 0 : tells(*node);
-      cores += place, memoryMb += turns ? 0 : node->memoryMb, ++listed;
-      if (turns)
-        turnCores += place, turnThreads += node->threads;  // a turn finds not always a use
-      tellers += fade, told += fade * node->others / able(*node);
+      bool slotted = usesSlots(*engine);
+      double usableCores = capacity(*engine) * (slotted ? kSlottedCapacityUse : 1);
+      double weight = slotted ? 0 : reportWeight(*engine);
+      availableCores += usableCores;
+      availableMemoryMb += slotted ? 0 : engine->memoryMb;
+      ++engineCount;
+      if (slotted) {
+        slottedCores += usableCores;
+        slottedThreads += engine->threadsInUse;
+      }
+      totalReportWeight += weight;
+      weightedOtherLoad += weight * engine->otherThreads / capacity(*engine);
     }
-    double worst = lateTook = lateRest = allFails = allOks = 0;
-    for (auto& [id, node] : nodes) {
-      moveMark(*node);
-      any |= node->pressed && node->listed, worst = std::max(worst, node->stretch);
-      allFails += node->fails.upperBound(now) + node->late, allOks += node->oks.upperBound(now);
+    // Marks, and the fleet's failures and latency ratio.
+    double worstRatio = fleetLatency = fleetIdleLatency = totalFailures = totalAnswers = 0;
+    for (auto& [id, engine] : engines) {
+      updateMark(*engine);
+      anyPressure |= engine->underPressure && engine->inService;
+      worstRatio = std::max(worstRatio, engine->latencyRatio);
+      totalFailures += engine->failures.upperBound(now) + engine->overdue;
+      totalAnswers += engine->answers.upperBound(now);
     }
-    for (auto& [ratio, rest] : answers)
-      lateTook += ratio * rest, lateRest += rest;
-    stretch = lateRest > 0 ? lateTook / lateRest : 1;
-    if (quotas > 0 && usualWork > 0)
-      trafficPart = doneLong.upperBound(now) / seen() / quotas / usualWork;
-    weight = std::min(1.0, kSweep * taken.upperBound(now) / seen() / kAnswers);
-    sparse = std::clamp(1 - (allOks + allFails) / kFailSpan / std::max(1.0, listed) / kDense, 0.0, 1.0);
-    // Where few sends tell how a node is, it is asked now and then: one probe a command at most.
-    if (settings.probingSupported && sparse > 0)
-      probes += kSweep * std::min(homes / kReportFades, taken.upperBound(now) / seen());
-    chooseHome();
-    for (; probes >= 1 && homes > 0; --probes) {
-      auto next = nodes.upper_bound(lastProbed);
-      while (next == nodes.end() || !next->second->home)
-        next = next == nodes.end() ? nodes.begin() : std::next(next);
+    for (auto& [ratio, idleLatency] : recentAnswers) {
+      fleetLatency += ratio * idleLatency;
+      fleetIdleLatency += idleLatency;
+    }
+    latencyRatio = fleetIdleLatency > 0 ? fleetLatency / fleetIdleLatency : 1;
+    // This gateway's own traffic.
+    if (totalQuota > 0 && usualWork > 0)
+      quotaShare = completedWork.upperBound(now) / trafficSpan() / totalQuota / usualWork;
+    newAnswerShare =
+        std::min(1.0, kSweepInterval * arrivals.upperBound(now) / trafficSpan() / kRecentAnswers);
+    sparsity = std::clamp(
+        1 - (totalAnswers + totalFailures) / kFailureWindow / std::max(1.0, engineCount) / kDenseSends, 0.0,
+        1.0);
+    // Where sends are too sparse to judge the engines, they are probed in turn: at most one probe a command.
+    if (settings.probingSupported && sparsity > 0)
+      probesDue += kSweepInterval *
+                   std::min(preferredCount / kReportDecayTime, arrivals.upperBound(now) / trafficSpan());
+    choosePreferredEngines();
+    for (; probesDue >= 1 && preferredCount > 0; --probesDue) {
+      auto next = engines.upper_bound(lastProbed);
+      while (next == engines.end() || !next->second->preferred)
+        next = next == engines.end() ? engines.begin() : std::next(next);
       actions.probe(lastProbed = next->first);
     }
-    usualMemory += weight * (memory - usualMemory);
-    threads = memory = 0;  // what stands at a node that rests takes no place
-    for (auto& [id, node] : nodes) {
-      judge(*node);
-      if (!node->resting)
-        threads += node->threads, memory += node->memory;
+    usualMemoryInUse += newAnswerShare * (memoryInUse - usualMemoryInUse);
+    // Outliers; sends at ejected engines don't count as load.
+    threadsInUse = memoryInUse = 0;
+    for (auto& [id, engine] : engines) {
+      detectOutlier(*engine);
+      if (!engine->ejected) {
+        threadsInUse += engine->threadsInUse;
+        memoryInUse += engine->memoryInUse;
+      }
     }
-    if (any != pressure)
-      log("pressure %s: latency %.1f times the best", any ? "shown" : "over", worst);
-    pressure = any;
+    if (anyPressure != underPressure)
+      log("pressure %s: latency %.1f times the best", anyPressure ? "shown" : "over", worstRatio);
+    underPressure = anyPressure;
     if (budgetScheduler)
       preempt();
-    if (overload && now > overloadUntil)
-      overload = false, log("overload over: %zu held", held.size());
-    shedHeld();
+    if (overloaded && now > overloadedUntil) {
+      overloaded = false;
+      log("overload over: %zu held", waiting.size());
+    }
+    shedWaiting();
   }
 
-  void wakeAt(double time) {
-    if (nextWake > now + kClock && nextWake <= time)
+  void scheduleWakeUp(double time) {
+    if (nextWakeUp > now + kClockResolution && nextWakeUp <= time)
       return;
-    actions.scheduleWakeUp(nextWake = time);
+    actions.scheduleWakeUp(nextWakeUp = time);
   }
 
-  CommandState* next() {  // whose turn it is
+  // The command whose turn it is, or null.
+  CommandState* selectNext() {
     if (budgetScheduler)
       return static_cast<CommandState*>(budgetScheduler->selectNext());
-    DeficitRoundRobinQueue* turn = root.next(now);
-    return turn ? turn->fifo.front().get() : nullptr;
+    DeficitRoundRobinQueue* queue = rootQueue.selectNext(now);
+    return queue ? queue->fifo.front().get() : nullptr;
   }
 
   void decide() override {
-    if (askAt >= 0 && now >= askAt)
-      askAt = -1, actions.requestEngineList();
-    if (now >= nextSweep - kClock)
-      nextSweep = now + kSweep, sweep();
-    for (; fresh < held.size(); ++fresh)
-      if (!held[fresh]->over && hopeless(*held[fresh]))
-        end(*held[fresh]);
-    releaseKeys();
-    while (CommandState* turn = next()) {
-      CommandState& cmd = *turn;
-      if (hopeless(cmd) || (cmd.sends > 0 && !mayGoAgain(cmd))) {
-        end(cmd);
-      } else if (start(cmd)) {
+    if (listRequestAt >= 0 && now >= listRequestAt) {
+      listRequestAt = -1;
+      actions.requestEngineList();
+    }
+    if (now >= nextSweep - kClockResolution) {
+      nextSweep = now + kSweepInterval;
+      sweep();
+    }
+    for (; firstUnchecked < waiting.size(); ++firstUnchecked)
+      if (!waiting[firstUnchecked]->ended && isHopeless(*waiting[firstUnchecked]))
+        shedOrFail(*waiting[firstUnchecked]);
+    releaseOrderingKeys();
+    while (CommandState* selected = selectNext()) {
+      CommandState& command = *selected;
+      if (isHopeless(command) || (command.sendCount > 0 && !mayRetry(command))) {
+        shedOrFail(command);
+      } else if (tryStart(command)) {
         if (!budgetScheduler)
-          cmd.leaf->pay(cmd.work);
-      } else {  // the loser waits and draws again; meanwhile other leaves take their turns
-        double size = std::clamp(cmd.work / std::max(usualWork, 1e-6), kWaitLeast, kWaitMost);
-        double wait = size * chance.uniformBetween(kWaitLow, kWaitHigh);
+          command.queue->charge(command.work);
+      } else {
+        // Random back-off, in which other leaves take their turns.
+        double scale =
+            std::clamp(command.work / std::max(usualWork, 1e-6), kBackoffScaleMin, kBackoffScaleMax);
+        double wait = scale * random.uniformBetween(kBackoffMin, kBackoffMax);
         if (budgetScheduler)
-          budgetScheduler->postpone(cmd, wait);
+          budgetScheduler->postpone(command, wait);
         else
-          cmd.leaf->wakeAt = now + wait;
+          command.queue->wakeAt = now + wait;
       }
     }
-    wakeAt(std::max(std::min(budgetScheduler ? budgetScheduler->nextWakeUp() : root.wakes(), nextSweep),
-                    now + kClock));
+    scheduleWakeUp(std::max(
+        std::min(budgetScheduler ? budgetScheduler->nextWakeUp() : rootQueue.nextAttempt(), nextSweep),
+        now + kClockResolution));
   }
 
-  // --- state
+  // --- State
   Settings settings;
-  Pcg32 chance;
+  Pcg32 random;
   ActionSink& actions;
-  BudgetScheduler* budgetScheduler;  // none: the turns below decide alone
-  double now = 0, openedAt = -1, nextSweep = 0, nextWake = -1, overloadUntil = -1, askAt = -1;
-  bool overload = false, pressure = false, listSeen = false;
-  bool loadsHold = false;  // some profile stands still while a load holds its group
-  std::vector<ProfileStatistics> rows;
-  std::map<uint32_t, std::unique_ptr<TrackedEngine>> nodes;
-  std::map<uint64_t, KeyQueue> keys;
-  DeficitRoundRobinQueue root;
-  std::vector<std::shared_ptr<CommandState>> held;
-  size_t fresh = 0;  // from here on, held commands that no sweep has looked at
-  SlidingWindowSum taken{20}, done{3}, doneLong{20}, further{1}, takenInSpan{1};
-  double quotas = 0, trafficPart = 0;  // of all tenants, commands a second; our part of their work
-  double usualRun = 0, usualWork = 0;  // means over all commands
-  double cores = 0, memoryMb = 0, listed = 0, resting = 0;      // of listed nodes; the last: who rest
-  double threads = 0, memory = 0, usualMemory = 0;              // of our sends there
-  double allFails = 0, allOks = 0, lateTook = 0, lateRest = 0;  // and what became of them
-  double usualMb = 0, tellers = 0, told = 0;  // memory a thread; reports, with what they tell of the others
-  double homes = 0, homeCores = 0, turnCores = 0, turnThreads = 0;  // nodes of our own; what is by turns
-  uint64_t salt;
-  double probes = 0;  // due
-  uint32_t lastProbed = 0;
-  double weight = 0, sparse = 0;  // part of the last answers that is new; 1: hardly a send comes to one node
-  double stretch = 1;             // latency over the best,
-  std::deque<std::pair<double, double>> answers;  // and of the last ones, with their latency at rest
+  BudgetScheduler* budgetScheduler;  // null: rootQueue alone decides whose turn it is
+  double now = 0;                    // seconds
+  double openedAt = -1;              // seconds: first time that was set; negative: none yet
+  double nextSweep = 0;              // seconds
+  double nextWakeUp = -1;            // seconds: earliest wake-up that is requested
+  double overloadedUntil = -1;       // seconds
+  double listRequestAt = -1;         // seconds; negative: none is due
+  bool overloaded = false;
+  bool underPressure = false;  // some engine in service is
+  bool listReceived = false;
+  bool avoidsBulkLoads = false;               // some profile yields to bulk loads
+  std::vector<ProfileStatistics> statistics;  // one a profile, in the order of the settings
+  std::map<uint32_t, std::unique_ptr<TrackedEngine>> engines;
+  std::map<uint64_t, KeyQueue> keyQueues;
+  DeficitRoundRobinQueue rootQueue;
+  std::vector<std::shared_ptr<CommandState>> waiting;
+  size_t firstUnchecked = 0;                       // in `waiting`: no sweep has looked at those from here on
+  SlidingWindowSum arrivals{kTrafficWindow};       // commands
+  SlidingWindowSum recentWork{kCompletionWindow};  // core-seconds of answered commands
+  SlidingWindowSum completedWork{kTrafficWindow};  // core-seconds of answered commands
+  SlidingWindowSum retries{1};                     // sends, in the window of the retry budget
+  SlidingWindowSum arrivalsInBudgetWindow{1};      // commands, in the window of the retry budget
+  double totalQuota = 0;                           // commands a second of all tenants and gateways
+  double quotaShare = 0;            // the work that this gateway completes, over that of all quotas
+  double usualRunTime = 0;          // seconds: mean over all commands
+  double usualWork = 0;             // core-seconds: mean over all commands
+  double availableCores = 0;        // of the engines in service that are not ejected
+  double availableMemoryMb = 0;     // of the same engines
+  double engineCount = 0;           // of the same engines
+  double ejectedCount = 0;          // engines in service that are ejected
+  double threadsInUse = 0;          // by our sends, but those at ejected engines
+  double memoryInUse = 0;           // MB, by our sends, but those at ejected engines
+  double usualMemoryInUse = 0;      // MB: mean of memoryInUse
+  double totalFailures = 0;         // sends of all engines in kFailureWindow, overdue ones included
+  double totalAnswers = 0;          // sends of all engines in kFailureWindow
+  double fleetLatency = 0;          // seconds, of the recent answers and of overdue sends
+  double fleetIdleLatency = 0;      // seconds: the idle latencies of the same sends
+  double usualMemoryPerThread = 0;  // MB: mean weighted by work
+  double totalReportWeight = 0;     // sum of reportWeight() over the engines
+  double weightedOtherLoad = 0;  // threads a core of other gateways by load reports, summed by reportWeight()
+  double preferredCount = 0;     // engines in this gateway's subset
+  double preferredCapacity = 0;  // cores of these
+  double slottedCores = 0;       // of the cold engines that use slots
+  double slottedThreads = 0;     // by our sends at these
+  uint64_t hashKey;              // of this gateway, for its subset of engines
+  double probesDue = 0;
+  uint32_t lastProbed = 0;    // engine
+  double newAnswerShare = 0;  // part of recentAnswers that a sweep interval replaces
+  double sparsity = 0;        // 0: sends to each engine are frequent enough to judge it; 1: hardly any
+  double latencyRatio = 1;    // latency over idle latency, of the recent answers and of overdue sends
+  std::deque<std::pair<double, double>> recentAnswers;  // latency over idle latency; idle latency in seconds
 };
 
-// --- what happens to a command
+// --- Events of a command
 void CommandState::statusReported(StatusTopic topic, double) {
-  if (node && topic == StatusTopic::queued && !over)
-    core.press(*node);
+  if (engine && topic == StatusTopic::queued && !ended)
+    policy.notePressure(*engine);
 }
 
 void CommandState::withdrawn() {
-  if (std::exchange(over, true))
+  if (std::exchange(ended, true))
     return;
-  if (held)
-    core.unhold(*this);
-  if (node && core.settings.cancelSupported && !cancelled)
-    cancelled = true, core.actions.cancel(*this, sends - 1);
-  core.close(*this);
+  if (waiting)
+    policy.dequeue(*this);
+  if (engine && policy.settings.cancelSupported && !cancelled) {
+    cancelled = true;
+    policy.actions.cancel(*this, sendCount - 1);
+  }
+  policy.releaseIfDone(*this);
 }
 
-void CommandState::sendFinished(Outcome what, double took, bool final, const ResourceUsage* usage,
+void CommandState::sendFinished(Outcome outcome, double took, bool final, const ResourceUsage* usage,
                                 const LoadReport* report) {
   auto self = shared_from_this();
-  if (!node)
+  if (!engine)
     return;
-  TrackedEngine& was = *node;
-  node = nullptr;
-  std::erase(was.out, self);
-  was.threads -= profile().threads, core.threads -= profile().threads;
-  was.memory -= grant, core.memory -= grant;
-  if (core.budgetScheduler)
-    core.budgetScheduler->sendFinished(*this, usage ? usage->work : 0);
-  bool ownTrial = std::exchange(trial, false);
-  if (ownTrial)
-    was.trialOut = false;
-  bool ran = what != Outcome::overloaded && what != Outcome::connectFailed && what != Outcome::notStarted;
-  if (ran && ranAt < 0)
-    ranAt = sentAt, ranZone = was.zone, ranCell = was.cell;
-  if (key && (what == Outcome::timedOut || what == Outcome::reset || what == Outcome::cancelled))
-    core.keys[*key].quietUntil = core.now + core.settings.keyQuietPeriod;
-  bool answered = what == Outcome::answered;
-  if (answered)
-    was.oks.add(core.now, 1), was.pause = kFullPause;
-  bool blames = what == Outcome::timedOut && !profile().yieldsToBulkLoads && !lowered;
-  if (what == Outcome::error || blames)
-    was.fails.add(core.now, 1);
-  if (what == Outcome::connectFailed || what == Outcome::reset)
-    was.fails.add(core.now, 2);
-  if (what ==
-      Outcome::overloaded) {  // the more gateways come back at once, the longer it must be: it doubles
-    core.press(was), was.fullUntil = core.now + was.pause * core.chance.uniformBetween(0.5, 1.5);
-    was.pause = std::min(2 * was.pause, kRestLast);
-  }
-  if (ownTrial && was.resting && answered && ++was.trials >= core.evidence()) {
-    core.well(was);
-  } else if (ownTrial && was.resting && !answered && what != Outcome::overloaded &&
-             what != Outcome::notStarted) {
-    core.rest(was, "trial failed", was.trials, core.evidence());
+  // The send's resources are free again.
+  TrackedEngine& finishedAt = *engine;
+  engine = nullptr;
+  std::erase(finishedAt.outstanding, self);
+  finishedAt.threadsInUse -= profile().threads;
+  policy.threadsInUse -= profile().threads;
+  finishedAt.memoryInUse -= reservedMb;
+  policy.memoryInUse -= reservedMb;
+  if (policy.budgetScheduler)
+    policy.budgetScheduler->sendFinished(*this, usage ? usage->work : 0);
+  bool wasTrial = std::exchange(isTrial, false);
+  if (wasTrial)
+    finishedAt.trialOut = false;
+  // Rule 2 (no second effect) and rule 5 (order within a key) depend on whether it may have run, or may run
+  // still.
+  bool mayHaveRun =
+      outcome != Outcome::overloaded && outcome != Outcome::connectFailed && outcome != Outcome::notStarted;
+  if (mayHaveRun && firstRunAt < 0) {
+    firstRunAt = sentAt;
+    firstRunZone = finishedAt.zone;
+    firstRunCell = finishedAt.cell;
   }
+  if (orderingKey &&
+      (outcome == Outcome::timedOut || outcome == Outcome::reset || outcome == Outcome::cancelled))
+    policy.keyQueues[*orderingKey].quietUntil = policy.now + policy.settings.keyQuietPeriod;
+  // Outlier detection.
+  bool answered = outcome == Outcome::answered;
+  if (answered) {
+    finishedAt.answers.add(policy.now, 1);
+    finishedAt.overloadPause = kMinOverloadPause;
+  }
+  bool blamesEngine = outcome == Outcome::timedOut && !profile().yieldsToBulkLoads && !lowPriority;
+  if (outcome == Outcome::error || blamesEngine)
+    finishedAt.failures.add(policy.now, 1);
+  if (outcome == Outcome::connectFailed || outcome == Outcome::reset)
+    finishedAt.failures.add(policy.now, 2);
+  // Exponential back-off with jitter: the more gateways would return at once, the longer it has to be.
+  if (outcome == Outcome::overloaded) {
+    policy.notePressure(finishedAt);
+    finishedAt.overloadedUntil =
+        policy.now + finishedAt.overloadPause * policy.random.uniformBetween(0.5, 1.5);
+    finishedAt.overloadPause = std::min(2 * finishedAt.overloadPause, kMaxOverloadPause);
+  }
+  if (wasTrial && finishedAt.ejected && answered && ++finishedAt.trialsAnswered >= policy.evidenceNeeded()) {
+    policy.returnToService(finishedAt);
+  } else if (wasTrial && finishedAt.ejected && !answered && outcome != Outcome::overloaded &&
+             outcome != Outcome::notStarted) {
+    policy.eject(finishedAt, "trial failed", finishedAt.trialsAnswered, policy.evidenceNeeded());
+  }
+  // Estimates and latency ratios. A command that used more memory than it was granted has spilled to
+  // disk, and its latency says nothing about the engine's load.
   if (answered)
-    core.learn(*this, took, usage);
-  bool spilled = usage && estimateMb > 0 &&
-                 usage->memoryMb > (core.settings.memoryGrantsSupported ? grant : kOwnGrant * estimateMb);
-  if (answered && !ownTrial && !spilled) {
-    double rest = atRest() * core.slow(was), most = std::min(took, kRatioCap * rest);
-    was.took.add(core.now, most), was.rest.add(core.now, rest);
-    core.answers.push_back({most / rest, rest});
-    if (double(core.answers.size()) > kAnswers)
-      core.answers.pop_front();
-  }
-  core.seeReport(was, report);
-  avoid = was.id;
-  (over |= final) ? core.close(*this) : core.again(*this);
+    policy.learnFromAnswer(*this, took, usage);
+  bool spilled =
+      usage && estimatedMemoryMb > 0 &&
+      usage->memoryMb >
+          (policy.settings.memoryGrantsSupported ? reservedMb : kEngineGrantFactor * estimatedMemoryMb);
+  if (answered && !wasTrial && !spilled) {
+    double expected = idleLatency() * policy.coldSlowdown(finishedAt);
+    double latency = std::min(took, kMaxLatencyRatio * expected);
+    finishedAt.latencySum.add(policy.now, latency);
+    finishedAt.idleLatencySum.add(policy.now, expected);
+    policy.recentAnswers.push_back({latency / expected, expected});
+    if (double(policy.recentAnswers.size()) > kRecentAnswers)
+      policy.recentAnswers.pop_front();
+  }
+  policy.applyReport(finishedAt, report);
+  failedEngine = finishedAt.id;
+  ended |= final;
+  if (ended)
+    policy.releaseIfDone(*this);
+  else
+    policy.retryOrEnd(*this);
 }
 
 }  // namespace
--- a/src/policy.h
+++ b/src/policy.h
@@ -26,7 +26,7 @@
 // The engines that recognise a repeat of a deduplicated command: all, or those of the zone or cell of the
 // first send.
 enum class DeduplicationScope { all, zone, cell };
-// What happens when a command's memory estimate exceeds what an engine has left.
+// What an engine does with a command that needs more memory than it has left.
 enum class MemoryShortagePolicy { queue, reduceGrant, overcommit };
 // How a send ended.
 enum class Outcome {
@@ -50,8 +50,7 @@
   std::string name;
   RetrySafety retrySafety = RetrySafety::replayable;
   DeduplicationScope deduplicationScope = DeduplicationScope::all;
-  double deduplicationWindow =
-      0;  // seconds for which engines recognise a repeat, from the first send that may have run
+  double deduplicationWindow = 0;  // seconds from the first send that may have run
   // The latency target is latencyTarget + latencyTargetStretch x work / threads.
   double latencyTarget = 0;         // seconds
   double latencyTargetStretch = 0;  // multiple of the run time
@@ -82,10 +81,9 @@
   std::vector<Profile> profiles;
   std::vector<Tenant> tenants;
   std::vector<EngineKind> engineKinds;
-  double overShareBenefitFactor =
-      1;                        // what the benefit beyond a tenant's share counts; not used by the module
-  double crossZoneCost = 0;     // above 0: engines of the gateway's own zone are preferred
-  double drainGracePeriod = 0;  // seconds; not used by the module, which stops new sends at once
+  double overShareBenefitFactor = 1;  // weight of benefit beyond a tenant's share; not used by the module
+  double crossZoneCost = 0;           // above 0: engines of the gateway's own zone are preferred
+  double drainGracePeriod = 0;        // seconds; not used by the module, which stops new sends at once
 
   // Cold engines (rule 4). An engine's capacity rises linearly from coldCapacity to 1 over coldDuration. A
   // gateway fleet that sends it more than coldOverloadFactor x coldCapacity x cores of work per second, over
