--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -1,5 +1,9 @@
-// elmcleat_drill: the decision module on the simulator's wire. Lines come in on standard input and become
-// calls on the module; its answers are written straight to standard output. Nothing is decided here.
+// elmcleat_drill: adapter between the decision module and the simulator. Each line of standard input is an
+// event in JSON and becomes a call on the module of one instance (a gateway); the module's actions are
+// written to standard output, one JSON object a line. Nothing is decided here.
+//
+// FRAME sets the time, EOB ends a batch of events: then each instance that had an event decides, and NEXT is
+// written. Times on the wire are microseconds (fields in ...Us). Exit status: 0, or 1 after an invalid line.
 #include <charconv>
 #include <cmath>
 #include <cstdio>
@@ -15,10 +19,11 @@
 namespace elmcleat::drill {
 namespace {
 
-using Rows = std::vector<EngineRecord>;
+// One engine list.
+using EngineRecords = std::vector<EngineRecord>;
 
-Outcome readOutcome(const std::string& word) {
-  return named<Outcome>(word, {{"delivered", Outcome::answered},
+Outcome readOutcome(const std::string& name) {
+  return named<Outcome>(name, {{"delivered", Outcome::answered},
                                {"app_error", Outcome::error},
                                {"shed", Outcome::overloaded},
                                {"expired", Outcome::timedOut},
@@ -28,7 +33,7 @@
                                {"unused", Outcome::notStarted}});
 }
 
-std::optional<LoadReport> readReport(const Json& event) {
+std::optional<LoadReport> readLoadReport(const Json& event) {
   auto usage = event.find("usage");
   if (usage == event.end() || usage->is_null())
     return std::nullopt;
@@ -41,203 +46,213 @@
 
 uint64_t readHex(const std::string& text) {
   uint64_t value = 0;
-  auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
-  if (fault != std::errc() || end != text.data() + text.size())
+  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
+  if (error != std::errc() || end != text.data() + text.size())
     throw std::invalid_argument("'" + text + "' is not a hexadecimal id");
   return value;
 }
 
-Rows readRows(const Json& lines) {
-  Rows rows;
+EngineRecords readEngineRecords(const Json& lines) {
+  EngineRecords records;
   for (auto& line : lines) {
-    const Section at(line);
-    EngineRecord row;
-    row.id = at.need<uint32_t>("node");
-    row.zone = at.get<std::string>("rackZone", "");
-    row.kind = at.get<std::string>("type", "");
-    row.cell = at.get("unitGroup", 0);
-    row.state = at.word<EngineState>("condition", "in_service",
-                                     {{"in_service", EngineState::inService},
-                                      {"terminating", EngineState::draining},
-                                      {"terminated", EngineState::removed}});
-    if (double started = at.seconds("bootTimeUs"); started > 0)
-      row.startedAt = started;
-    rows.push_back(std::move(row));
+    const Section fields(line);
+    EngineRecord record;
+    record.id = fields.need<uint32_t>("node");
+    record.zone = fields.get<std::string>("rackZone", "");
+    record.kind = fields.get<std::string>("type", "");
+    record.cell = fields.get("unitGroup", 0);
+    record.state = fields.word<EngineState>("condition", "in_service",
+                                            {{"in_service", EngineState::inService},
+                                             {"terminating", EngineState::draining},
+                                             {"terminated", EngineState::removed}});
+    if (double started = fields.seconds("bootTimeUs"); started > 0)
+      record.startedAt = started;
+    records.push_back(std::move(record));
   }
-  return rows;
+  return records;
 }
 
-// One instance: the module behind the ids of the wire.
+// One gateway: its module, and its commands by the simulator's ids.
 class Instance : public ActionSink {
  public:
-  Instance(int who, const Json& event, double now) : who_(who), now_(now) {
+  Instance(int id, const Json& event, double now) : id_(id), now_(now) {
     policy_ = createPolicy(readSettings(Section(event.at("config"), "config")),
                            event.at("initSeed").get<uint64_t>(), *this);
   }
 
-  void happen(const std::string& kind, const Json& event, const std::map<int, Rows>& pages, double now) {
+  // `pages`: the engine lists that ENDPOINTS events refer to.
+  void handleEvent(const std::string& kind, const Json& event, const std::map<int, EngineRecords>& pages,
+                   double now) {
     now_ = now;
     policy_->advanceTo(now);
     if (kind == "INBOUND")
-      take(event);
+      submit(event);
     else if (kind == "RESPONSE")
-      respond(event);
+      finishSend(event);
     else if (kind == "INTERIM")
-      note(event);
+      reportStatus(event);
     else if (kind == "OPENED") {
-      if (auto* held = find(event))
-        held->command->streamingStarted();
+      if (auto* entry = find(event))
+        entry->command->streamingStarted();
     } else if (kind == "WITHDRAWN")
       withdraw(event);
     else if (kind == "ENDPOINTS")
-      list(event, pages);
+      updateEngines(event, pages);
     else if (kind == "SAMPLED") {
-      auto report = readReport(event);
+      auto report = readLoadReport(event);
       policy_->probeFinished(event.at("node").get<uint32_t>(),
                              readOutcome(event.at("result").get<std::string>()), report ? &*report : nullptr);
     }
   }
-  void settle() { policy_->decide(); }
+  void decide() { policy_->decide(); }
 
-  void send(Command& command, uint32_t node, double timeout, double) override {
-    Held& held = live_.at(ids_.at(&command));
-    ++held.out;
-    write("ROUTE", {{"rid", ids_.at(&command)}, {"maxWaitUs", micros(timeout)}, {"node", node}});
+  void send(Command& command, uint32_t engine, double timeout, double) override {
+    CommandEntry& entry = commands_.at(ids_.at(&command));
+    ++entry.sendsOut;
+    write("ROUTE", {{"rid", ids_.at(&command)}, {"maxWaitUs", microseconds(timeout)}, {"node", engine}});
   }
   void setPriorityAndMemory(Command& command, int priority, double memoryMb) override {
     write("RESOURCES", {{"rid", ids_.at(&command)}, {"rank", priority}, {"memory", memoryMb}});
   }
-  void cancel(Command& command, int sendNo) override {
-    write("STOP_ATTEMPT", {{"rid", ids_.at(&command)}, {"roundNo", sendNo}});
+  void cancel(Command& command, int sendIndex) override {
+    write("STOP_ATTEMPT", {{"rid", ids_.at(&command)}, {"roundNo", sendIndex}});
   }
   void shed(Command& command, double retryAfter) override {
-    write("NOT_NOW", {{"rid", ids_.at(&command)}, {"holdOffUs", micros(retryAfter)}});
-    finish(command);
+    write("NOT_NOW", {{"rid", ids_.at(&command)}, {"holdOffUs", microseconds(retryAfter)}});
+    markEnded(command);
   }
   void fail(Command& command) override {
     write("FAIL", {{"rid", ids_.at(&command)}});
-    finish(command);
+    markEnded(command);
   }
-  void probe(uint32_t node) override { write("TOUCH", {{"node", node}}); }
+  void probe(uint32_t engine) override { write("TOUCH", {{"node", engine}}); }
   void requestEngineList() override { write("OBSERVE", {{"want", true}}); }
-  void scheduleWakeUp(double at) override {
-    write("SET_ALARM", {{"alarmTimeUs", std::max(micros(at), micros(now_))}, {"name", "wake"}});
+  void scheduleWakeUp(double time) override {
+    write("SET_ALARM", {{"alarmTimeUs", std::max(microseconds(time), microseconds(now_))}, {"name", "wake"}});
   }
   void log(const std::string& line) override { write("JOURNAL_LINE", {{"line", line}}); }
-  void giveIn(const std::string& why) { write("GIVE_IN", {{"line", why}}); }
 
  private:
-  struct Held {
+  struct CommandEntry {
     std::shared_ptr<Command> command;
-    int out = 0;  // sends without an outcome
-    bool over = false;
+    int sendsOut = 0;    // sends without an outcome
+    bool ended = false;  // its final answer is given, or it was withdrawn
   };
 
-  static int64_t micros(double time) { return std::llround(time * 1e6); }
+  static int64_t microseconds(double seconds) { return std::llround(seconds * 1e6); }
 
   void write(const char* kind, Json message) {
     message["kind"] = kind;
-    message["who"] = who_;
+    message["who"] = id_;
     std::cout << message.dump() << '\n';
   }
 
-  Held* find(const Json& event) {
-    auto found = live_.find(event.at("rid").get<std::string>());
-    return found == live_.end() ? nullptr : &found->second;
+  CommandEntry* find(const Json& event) {
+    auto found = commands_.find(event.at("rid").get<std::string>());
+    return found == commands_.end() ? nullptr : &found->second;
   }
-  void drop(Held& held) {
-    if (!held.over || held.out > 0)
+  // Forgets a command that has ended and has no send out.
+  void forgetIfDone(CommandEntry& entry) {
+    if (!entry.ended || entry.sendsOut > 0)
       return;
-    auto id = ids_.find(held.command.get());
+    auto id = ids_.find(entry.command.get());
     std::string rid = std::move(id->second);
     ids_.erase(id);
-    live_.erase(rid);
+    commands_.erase(rid);
   }
-  void finish(Command& command) { live_.at(ids_.at(&command)).over = true, ended_.push_back(&command); }
-  void sweep() {  // forget what was ended by the module's own answer
+  // Called from within the module, which may still use the command: forgetEnded() forgets it later.
+  void markEnded(Command& command) {
+    commands_.at(ids_.at(&command)).ended = true;
+    ended_.push_back(&command);
+  }
+  void forgetEnded() {
     for (Command* command : ended_)
       if (auto id = ids_.find(command); id != ids_.end())
-        drop(live_.at(id->second));
+        forgetIfDone(commands_.at(id->second));
     ended_.clear();
   }
 
-  void take(const Json& event) {
-    sweep();
-    const Section from(event);
+  void submit(const Json& event) {
+    forgetEnded();
+    const Section fields(event);
     Arrival arrival;
-    arrival.profile = from.need<std::string>("profile");
+    arrival.profile = fields.need<std::string>("profile");
     if (auto tenant = event.find("billing"); tenant != event.end() && tenant->is_string())
       arrival.tenant = tenant->get<std::string>();
-    arrival.tableGroup = from.get<uint64_t>("dataGroup", 0);
-    if (auto key = from.get<std::string>("table", ""); !key.empty())
+    arrival.tableGroup = fields.get<uint64_t>("dataGroup", 0);
+    if (auto key = fields.get<std::string>("table", ""); !key.empty())
       arrival.orderingKey = readHex(key);
-    arrival.estimatedWork = from.seconds("costUs");
-    arrival.estimatedMemoryMb = from.get("needMb", 0.0);
-    arrival.remainingTime = from.seconds("expiresInUs");
-    auto rid = from.need<std::string>("rid");
+    arrival.estimatedWork = fields.seconds("costUs");
+    arrival.estimatedMemoryMb = fields.get("needMb", 0.0);
+    arrival.remainingTime = fields.seconds("expiresInUs");
+    auto rid = fields.need<std::string>("rid");
     auto command = policy_->submit(arrival);
     ids_.emplace(command.get(), rid);
-    live_[rid].command = std::move(command);
+    commands_[rid].command = std::move(command);
   }
-  void respond(const Json& event) {
-    Held* held = find(event);
-    if (!held)
+  void finishSend(const Json& event) {
+    CommandEntry* entry = find(event);
+    if (!entry)
       return;
-    const Section from(event);
-    auto report = readReport(event);
+    const Section fields(event);
+    auto report = readLoadReport(event);
     std::optional<ResourceUsage> usage;
-    if (auto used = from.get<int64_t>("usedUp", 0); used > 0)
+    // Milliseconds of work in the upper bits; the lower 12 bits count memory in units of 4 MB.
+    if (auto used = fields.get<int64_t>("usedUp", 0); used > 0)
       usage = ResourceUsage{static_cast<double>(used / 4096) / 1e3, static_cast<double>(used % 4096) * 4};
-    bool final = from.get("final", false);
-    --held->out;
-    held->over |= final;
-    held->command->sendFinished(readOutcome(from.need<std::string>("result")), from.seconds("timeTakenUs"),
-                                final, usage ? &*usage : nullptr, report ? &*report : nullptr);
-    drop(*held);
+    bool final = fields.get("final", false);
+    --entry->sendsOut;
+    entry->ended |= final;
+    entry->command->sendFinished(readOutcome(fields.need<std::string>("result")),
+                                 fields.seconds("timeTakenUs"), final, usage ? &*usage : nullptr,
+                                 report ? &*report : nullptr);
+    forgetIfDone(*entry);
   }
-  void note(const Json& event) {
-    Held* held = find(event);
-    if (!held)
+  void reportStatus(const Json& event) {
+    CommandEntry* entry = find(event);
+    if (!entry)
       return;
-    const Section from(event);
-    int topic = from.need<int>("topic");
+    const Section fields(event);
+    int topic = fields.need<int>("topic");
     if (topic < 1 || topic > 3)
       return;
-    static constexpr StatusTopic topics[] = {StatusTopic::progress, StatusTopic::spilling,
-                                             StatusTopic::queued};
-    held->command->statusReported(topics[topic - 1], from.get("level", 0.0));
+    static constexpr StatusTopic kTopics[] = {StatusTopic::progress, StatusTopic::spilling,
+                                              StatusTopic::queued};
+    entry->command->statusReported(kTopics[topic - 1], fields.get("level", 0.0));
   }
   void withdraw(const Json& event) {
-    Held* held = find(event);
-    if (!held)
+    CommandEntry* entry = find(event);
+    if (!entry)
       return;
-    if (!held->over)
-      held->command->withdrawn();
-    held->over = true;
-    drop(*held);
+    if (!entry->ended)
+      entry->command->withdrawn();
+    entry->ended = true;
+    forgetIfDone(*entry);
   }
-  void list(const Json& event, const std::map<int, Rows>& pages) {
+  void updateEngines(const Json& event, const std::map<int, EngineRecords>& pages) {
     auto kind =
         named<EngineListKind>(event.at("scope").get<std::string>(), {{"diff", EngineListKind::delta},
                                                                      {"snapshot", EngineListKind::full},
                                                                      {"disk", EngineListKind::full},
                                                                      {"error", EngineListKind::error}});
-    static const Rows none;
-    policy_->updateEngines(kind,
-                           kind == EngineListKind::error ? none : pages.at(event.at("page").get<int>()));
+    static const EngineRecords kNoRecords;
+    policy_->updateEngines(
+        kind, kind == EngineListKind::error ? kNoRecords : pages.at(event.at("page").get<int>()));
   }
 
-  int who_;
-  double now_;
+  int id_;
+  double now_;  // seconds
   std::unique_ptr<Policy> policy_;
-  std::unordered_map<std::string, Held> live_;
+  std::unordered_map<std::string, CommandEntry> commands_;  // by the simulator's id
   std::unordered_map<const Command*, std::string> ids_;
-  std::vector<Command*> ended_;
+  std::vector<Command*> ended_;  // by the module's own final answer, not yet forgotten
 };
 
+// All instances of a simulation.
 class Drill {
  public:
-  void line(const std::string& text) {
+  // Handles one line of input. Throws Json::exception or std::invalid_argument if it is invalid.
+  void handleLine(const std::string& text) {
     Json event = Json::parse(text);
     auto kind = event.at("kind").get<std::string>();
     if (kind == "FRAME")
@@ -245,48 +260,50 @@
     else if (kind == "EOB")
       endBatch();
     else if (kind == "SNAPSHOT_ROWS")
-      pages_[event.at("page").get<int>()] = readRows(event.at("lines"));
+      pages_[event.at("page").get<int>()] = readEngineRecords(event.at("lines"));
     else {
-      int who = event.at("who").get<int>();
-      guarded(who, [&] {
+      int id = event.at("who").get<int>();
+      reportErrors(id, [&] {
         if (kind == "NEW_INSTANCE")
-          instances_[who] = std::make_unique<Instance>(who, event, now_);
-        else if (kind == "CRASH_NOW")
-          instances_.erase(who), touched_.erase(who);
-        if (auto found = instances_.find(who); found != instances_.end()) {
-          touched_.insert(who);
-          found->second->happen(kind, event, pages_, now_);
+          instances_[id] = std::make_unique<Instance>(id, event, now_);
+        else if (kind == "CRASH_NOW") {
+          instances_.erase(id);
+          undecided_.erase(id);
+        }
+        if (auto found = instances_.find(id); found != instances_.end()) {
+          undecided_.insert(id);
+          found->second->handleEvent(kind, event, pages_, now_);
         }
       });
     }
   }
 
  private:
-  // What is wrong with the input ends the drill; a fault of the module is told to the simulator.
-  template <typename Act>
-  void guarded(int who, Act act) {
+  // Invalid input ends the drill. An error of the module is passed to the simulator as GIVE_IN.
+  template <typename Call>
+  void reportErrors(int id, Call call) {
     try {
-      act();
+      call();
     } catch (const Json::exception&) {
       throw;
     } catch (const std::invalid_argument&) {
       throw;
-    } catch (const std::exception& fault) {
-      Json line = {{"kind", "GIVE_IN"}, {"who", who}, {"line", fault.what()}};
+    } catch (const std::exception& error) {
+      Json line = {{"kind", "GIVE_IN"}, {"who", id}, {"line", error.what()}};
       std::cout << line.dump() << '\n';
     }
   }
   void endBatch() {
-    for (int who : touched_)
-      guarded(who, [&] { instances_.at(who)->settle(); });
-    touched_.clear();
+    for (int id : undecided_)
+      reportErrors(id, [&] { instances_.at(id)->decide(); });
+    undecided_.clear();
     std::cout << "{\"kind\":\"NEXT\"}\n" << std::flush;
   }
 
-  double now_ = 0;
-  std::map<int, Rows> pages_;
+  double now_ = 0;                      // seconds
+  std::map<int, EngineRecords> pages_;  // engine lists by page number
   std::map<int, std::unique_ptr<Instance>> instances_;
-  std::set<int> touched_;
+  std::set<int> undecided_;  // instances with an event in this batch
 };
 
 }  // namespace
@@ -296,15 +313,15 @@
   std::ios::sync_with_stdio(false);
   elmcleat::drill::Drill drill;
   std::string text;
-  long number = 0;
+  long lineNumber = 0;
   while (std::getline(std::cin, text)) {
-    ++number;
+    ++lineNumber;
     if (text.empty())
       continue;
     try {
-      drill.line(text);
-    } catch (const std::exception& fault) {
-      std::cerr << "elmcleat_drill: line " << number << ": " << fault.what() << '\n';
+      drill.handleLine(text);
+    } catch (const std::exception& error) {
+      std::cerr << "elmcleat_drill: line " << lineNumber << ": " << error.what() << '\n';
       return 1;
     }
   }
