--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -99,7 +99,8 @@
 constexpr double kSendShareHeadroom = 1.3;  // multiple of an engine's share of the sends
 
 // --- Many gateways
-constexpr double kDenseSends = 2;           // sends a second to one engine that suffice to judge its state
+// Sends are sparse where an engine gets fewer than kDenseSends from this gateway: too few to judge its state.
+constexpr double kDenseSends = 2;           // sends a second
 constexpr double kMinTrafficShare = 0.125;  // least share of all traffic that a gateway assumes for itself
 constexpr double kReportDecayTime = 3;      // seconds until a report's weight is 1/e; also the probe interval
 constexpr double kPreferredWindow = 2;      // seconds: as many engines are preferred as commands arrive in it
@@ -131,7 +132,7 @@
 constexpr double kFailureWindow = 4;      // seconds
 constexpr double kMinFailureShare = 0.2;  // share of the sends that fail
 constexpr double kFailureOddsRatio = 2;   // odds of failure over those at the other engines
-constexpr double kMinOverdueTime = 0.5;   // seconds, on top of kTimeoutRatio
+constexpr double kMinOverdueTime = 0.5;   // seconds, on top of kTimeoutRatio times the expected latency
 constexpr double kMaxEvidence = 3;        // failures to eject an engine, and answered trials to return it
 constexpr double kMinOverloadPause = 1;  // seconds without sends after a refusal; doubled at each further one
 constexpr double kMaxOverloadPause = 8;  // seconds
@@ -144,7 +145,7 @@
 constexpr double kBacklogSlackShare = 0.2;  // share of the slack that the backlog may take up
 constexpr double kMinRateShare = 0.25;      // of our share of the cores: least rate of work assumed
 constexpr double kOverloadHold = 0.5;       // seconds
-constexpr double kMinRunShare = 0.8;        // of the idle latency: what must be left until a deadline
+constexpr double kMinRunShare = 0.8;        // of the idle latency, that must fit in before a deadline
 
 struct PolicyImpl;
 struct CommandState;
@@ -273,7 +274,7 @@
   bool ejected = false;
   bool trialOut = false;
 
-  // Whether nothing about it matters any more.
+  // Whether it has left the list and nothing that is known of it counts any more.
   bool isForgettable(double now) {
     return removed && outstanding.empty() && coldWork.upperBound(now) + failures.upperBound(now) <= 0;
   }
@@ -292,7 +293,7 @@
   void sendFinished(Outcome outcome, double took, bool final, const ResourceUsage* usage,
                     const LoadReport* report) override;
   void withdrawn() override;
-  void shortenDeadline(double at) override { deadline = std::min(deadline, at); }
+  void shortenDeadline(double newDeadline) override { deadline = std::min(deadline, newDeadline); }
 
   const Profile& profile() const { return *statistics.profile; }
   // Seconds, if it has its threads to itself.
@@ -316,7 +317,7 @@
   double sentAt = 0;                     // seconds: last send
   double firstRunAt = -1;                // seconds: first send that may have run; negative: none
   TrackedEngine* engine = nullptr;       // where a send is out
-  std::optional<uint32_t> failedEngine;  // where the last send ended
+  std::optional<uint32_t> lastEngineId;  // of the last send; avoided by the next one
   std::string firstRunZone;              // kept here, as that engine may have left the list
   int sendCount = 0;
   int firstRunCell = 0;
@@ -325,7 +326,7 @@
   bool streaming = false;
   bool isTrial = false;  // its send is an ejected engine's trial
   bool cancelled = false;
-  bool lowPriority = false;  // it borrows and has the lowest priority: its slowness is no fault of the engine
+  bool lowPriority = false;  // lowest priority, as it exceeds its guarantee: if late, no fault of the engine
 };
 
 // Rendezvous (highest random weight) hash of an engine and a key, in (0, 1).
@@ -351,14 +352,15 @@
 
   void advanceTo(double time) override {
     now = time;
-    openedAt = openedAt < 0 ? now : openedAt;
+    startTime = startTime < 0 ? now : startTime;
     if (budgetScheduler)
       budgetScheduler->advanceTo(now);
   }
 
   // --- Load and capacity
+
   // Seconds that `arrivals` and `completedWork` cover so far.
-  double trafficSpan() const { return std::clamp(now - openedAt, 5.0, 20.0); }
+  double trafficSpan() const { return std::clamp(now - startTime, 5.0, 20.0); }
   // Share of one gateway among all.
   double gatewayShare() const { return 1.0 / std::max(1, settings.gatewayCount); }
   // This gateway's share of all work, at least gatewayShare().
@@ -519,6 +521,7 @@
                                   ? command.profile().lateBenefitShare
                                   : 1);
   }
+  // Whether no useful answer can come in time.
   bool isHopeless(const CommandState& command) const {
     double remaining = command.deadline - now;
     return remaining < 2 * kSweepInterval || remaining < kMinRunShare * command.idleLatency() ||
@@ -736,7 +739,7 @@
 
   // Whether the gateways share a cold engine by time slots. Among many, 1/N of its budget is less than one
   // command (rule 4, no overload of a cold engine). So its cold time is cut into slots from its start on, and
-  // in each slot a few gateways, selected by a hash, have the whole budget.
+  // in each slot a few gateways, selected by a hash, share that slot's part of the budget.
   bool usesSlots(const TrackedEngine& engine) const {
     return isCold(engine) && engine.gatewayRank >= 0 && gatewayShare() < kSlottedShare;
   }
@@ -757,7 +760,7 @@
       held += int(rendezvousHash(engine.id, ~uint64_t(slot * int(kSlotHolders) + i)) *
                   settings.gatewayCount) == engine.gatewayRank;
     // A slot that began before this process started may have been used by its predecessor.
-    if (held == 0 || *engine.startedAt + double(slot) * slotLength < openedAt)
+    if (held == 0 || *engine.startedAt + double(slot) * slotLength < startTime)
       return 0;
     if (std::exchange(engine.lastSlot, slot) != slot)
       engine.slotWork = 0;
@@ -796,7 +799,7 @@
     if (isCold(engine)) {
       bool slotted = usesSlots(engine);
       // A predecessor of this process may have sent work there.
-      if (!slotted && now < openedAt + settings.coldOverloadWindow)
+      if (!slotted && now < startTime + settings.coldOverloadWindow)
         return false;
       if (std::max(command.work, slotted ? 0 : command.statistics.usualWork) > coldAllowance(engine))
         return false;
@@ -829,7 +832,7 @@
         extraLoad -= underPressure ? kSlotLoadCredit : 0;
       else if (!engine->preferred)
         extraLoad += kNonPreferredLoad;
-      if (command.failedEngine == id)
+      if (command.lastEngineId == id)
         extraLoad += kDecisiveLoad;
       bool hasRoom = !engine->underPressure || markUse(*engine, command) < 1 || now < engine->idleUntil;
       candidates[hasRoom].push_back({engine.get(), estimatedLoad(*engine) + extraLoad, rank});
@@ -925,6 +928,7 @@
   }
 
   // --- Outlier detection
+
   // Ejects an engine, or prolongs its ejection after a failed trial. `figure` and `reference` go to the log.
   void eject(TrackedEngine& engine, const char* reason, double figure, double reference) {
     if (!engine.ejected) {
@@ -1040,7 +1044,9 @@
       engine.underPressure = false;
   }
 
-  // --- Load shedding Ends waiting commands that can't be in time. Under pressure, while the backlog needs
+  // --- Load shedding
+
+  // Ends waiting commands that can't be in time. Under pressure, while the backlog needs
   // more than a part of the slack of all waiting commands, it also ends those with the least benefit for
   // their work. Protects against bursts, costly commands, lost engines and retries. Does harm where estimates
   // are wrong.
@@ -1081,8 +1087,8 @@
     overloadedUntil = now + kOverloadHold;
     candidates.pop_back();
     for (auto& command : candidates) {
-      // A guaranteed command gets its resources back from borrowers, so the backlog may take up the whole
-      // slack.
+      // A command within its guarantee gets resources back from those beyond theirs, so the backlog may take
+      // up the whole slack.
       bool guaranteed = budgetScheduler && budgetScheduler->isGuaranteed(*command);
       if (backlog <= (guaranteed ? room / kBacklogSlackShare : room))
         break;
@@ -1091,10 +1097,10 @@
     }
   }
 
-  // Preemption: a borrowing command makes room while one within its guarantee waits. Its priority is lowered,
-  // or its send cancelled if the command may be sent again (rule 2, no second effect; rule 7, retry budget).
-  // Protects against long borrowing commands that keep a tenant from its guarantee. Does harm where the
-  // waiting command needs room at another engine.
+  // Preemption: a command beyond its tenant's guarantee makes room while one within its guarantee waits. Its
+  // priority is lowered, or its send cancelled if the command may be sent again (rule 2, no second effect;
+  // rule 7, retry budget). Protects against long commands that keep a tenant from its guarantee. Does harm
+  // where the waiting command needs room at another engine.
   void preempt() {
     auto [selected, cancel] = budgetScheduler->selectPreemption();
     if (!selected)
@@ -1247,7 +1253,7 @@
   ActionSink& actions;
   BudgetScheduler* budgetScheduler;  // null: rootQueue alone decides whose turn it is
   double now = 0;                    // seconds
-  double openedAt = -1;              // seconds: first time that was set; negative: none yet
+  double startTime = -1;             // seconds: first time that the host set; negative: none yet
   double nextSweep = 0;              // seconds
   double nextWakeUp = -1;            // seconds: earliest wake-up that is requested
   double overloadedUntil = -1;       // seconds
@@ -1322,53 +1328,53 @@
   if (!engine)
     return;
   // The send's resources are free again.
-  TrackedEngine& finishedAt = *engine;
+  TrackedEngine& lastEngine = *engine;
   engine = nullptr;
-  std::erase(finishedAt.outstanding, self);
-  finishedAt.threadsInUse -= profile().threads;
+  std::erase(lastEngine.outstanding, self);
+  lastEngine.threadsInUse -= profile().threads;
   policy.threadsInUse -= profile().threads;
-  finishedAt.memoryInUse -= reservedMb;
+  lastEngine.memoryInUse -= reservedMb;
   policy.memoryInUse -= reservedMb;
   if (policy.budgetScheduler)
     policy.budgetScheduler->sendFinished(*this, usage ? usage->work : 0);
   bool wasTrial = std::exchange(isTrial, false);
   if (wasTrial)
-    finishedAt.trialOut = false;
+    lastEngine.trialOut = false;
   // Rule 2 (no second effect) and rule 5 (order within a key) depend on whether it may have run, or may run
   // still.
   bool mayHaveRun =
       outcome != Outcome::overloaded && outcome != Outcome::connectFailed && outcome != Outcome::notStarted;
   if (mayHaveRun && firstRunAt < 0) {
     firstRunAt = sentAt;
-    firstRunZone = finishedAt.zone;
-    firstRunCell = finishedAt.cell;
+    firstRunZone = lastEngine.zone;
+    firstRunCell = lastEngine.cell;
   }
   if (orderingKey &&
       (outcome == Outcome::timedOut || outcome == Outcome::reset || outcome == Outcome::cancelled))
     policy.keyQueues[*orderingKey].quietUntil = policy.now + policy.settings.keyQuietPeriod;
-  // Outlier detection.
+  // Outlier detection; a broken connection counts as two failures.
   bool answered = outcome == Outcome::answered;
   if (answered) {
-    finishedAt.answers.add(policy.now, 1);
-    finishedAt.overloadPause = kMinOverloadPause;
+    lastEngine.answers.add(policy.now, 1);
+    lastEngine.overloadPause = kMinOverloadPause;
   }
   bool blamesEngine = outcome == Outcome::timedOut && !profile().yieldsToBulkLoads && !lowPriority;
   if (outcome == Outcome::error || blamesEngine)
-    finishedAt.failures.add(policy.now, 1);
+    lastEngine.failures.add(policy.now, 1);
   if (outcome == Outcome::connectFailed || outcome == Outcome::reset)
-    finishedAt.failures.add(policy.now, 2);
+    lastEngine.failures.add(policy.now, 2);
   // Exponential back-off with jitter: the more gateways would return at once, the longer it has to be.
   if (outcome == Outcome::overloaded) {
-    policy.notePressure(finishedAt);
-    finishedAt.overloadedUntil =
-        policy.now + finishedAt.overloadPause * policy.random.uniformBetween(0.5, 1.5);
-    finishedAt.overloadPause = std::min(2 * finishedAt.overloadPause, kMaxOverloadPause);
+    policy.notePressure(lastEngine);
+    lastEngine.overloadedUntil =
+        policy.now + lastEngine.overloadPause * policy.random.uniformBetween(0.5, 1.5);
+    lastEngine.overloadPause = std::min(2 * lastEngine.overloadPause, kMaxOverloadPause);
   }
-  if (wasTrial && finishedAt.ejected && answered && ++finishedAt.trialsAnswered >= policy.evidenceNeeded()) {
-    policy.returnToService(finishedAt);
-  } else if (wasTrial && finishedAt.ejected && !answered && outcome != Outcome::overloaded &&
+  if (wasTrial && lastEngine.ejected && answered && ++lastEngine.trialsAnswered >= policy.evidenceNeeded()) {
+    policy.returnToService(lastEngine);
+  } else if (wasTrial && lastEngine.ejected && !answered && outcome != Outcome::overloaded &&
              outcome != Outcome::notStarted) {
-    policy.eject(finishedAt, "trial failed", finishedAt.trialsAnswered, policy.evidenceNeeded());
+    policy.eject(lastEngine, "trial failed", lastEngine.trialsAnswered, policy.evidenceNeeded());
   }
   // Estimates and latency ratios. A command that used more memory than it was granted has spilled to
   // disk, and its latency says nothing about the engine's load.
@@ -1379,16 +1385,16 @@
       usage->memoryMb >
           (policy.settings.memoryGrantsSupported ? reservedMb : kEngineGrantFactor * estimatedMemoryMb);
   if (answered && !wasTrial && !spilled) {
-    double expected = idleLatency() * policy.coldSlowdown(finishedAt);
+    double expected = idleLatency() * policy.coldSlowdown(lastEngine);
     double latency = std::min(took, kMaxLatencyRatio * expected);
-    finishedAt.latencySum.add(policy.now, latency);
-    finishedAt.idleLatencySum.add(policy.now, expected);
+    lastEngine.latencySum.add(policy.now, latency);
+    lastEngine.idleLatencySum.add(policy.now, expected);
     policy.recentAnswers.push_back({latency / expected, expected});
     if (double(policy.recentAnswers.size()) > kRecentAnswers)
       policy.recentAnswers.pop_front();
   }
-  policy.applyReport(finishedAt, report);
-  failedEngine = finishedAt.id;
+  policy.applyReport(lastEngine, report);
+  lastEngineId = lastEngine.id;
   ended |= final;
   if (ended)
     policy.releaseIfDone(*this);
