--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -359,7 +359,7 @@
 
   // --- Load and capacity
 
-  // Seconds that `arrivals` and `completedWork` cover so far.
+  // Seconds that `arrivals` and `completedWork` cover so far, taken as 5 at least; at most kTrafficWindow.
   double trafficSpan() const { return std::clamp(now - startTime, 5.0, 20.0); }
   // Share of one gateway among all.
   double gatewayShare() const { return 1.0 / std::max(1, settings.gatewayCount); }
@@ -406,6 +406,7 @@
     command->estimatedMemoryMb = arrival.estimatedMemoryMb;
     command->benefit = profile.benefit;
     double workGuess = row->usualWork > 0 ? row->usualWork : profile.latencyTarget * profile.threads / 2;
+    // 1e-4 core-seconds at least, as work is a divisor.
     command->work =
         std::max(arrival.estimatedWork > 0 ? arrival.estimatedWork * row->workRatio : workGuess, 1e-4);
     auto updateMean = [](double& mean, double value) {
@@ -590,6 +591,7 @@
   void learnFromAnswer(CommandState& command, double took, const ResourceUsage* usage) {
     ProfileStatistics& row = command.statistics;
     if (usage && usage->work > 0) {
+      // Usage counts as a tenth to ten times the corrected estimate.
       auto correct = [](double& ratio, double factor) {
         ratio *= std::pow(std::clamp(factor, .1, 10.), kEwmaWeight);
       };
@@ -604,7 +606,8 @@
     }
     recentWork.add(now, command.work);
     completedWork.add(now, command.work);
-    // Falls faster than it rises, so it settles at a low quantile of latency over run time.
+    // Falls faster than it rises, so it settles at a low quantile of latency over run time, between 0.4 and
+    // 1.5.
     double ratio = took / command.runTime();
     row.idleLatencyRatio = std::clamp(
         row.idleLatencyRatio * (ratio < row.idleLatencyRatio ? kIdleRatioDecrease : kIdleRatioIncrease), 0.4,
@@ -1046,10 +1049,9 @@
 
   // --- Load shedding
 
-  // Ends waiting commands that can't be in time. Under pressure, while the backlog needs
-  // more than a part of the slack of all waiting commands, it also ends those with the least benefit for
-  // their work. Protects against bursts, costly commands, lost engines and retries. Does harm where estimates
-  // are wrong.
+  // Ends waiting commands that can't be in time. Under pressure, while the backlog needs more than a part of
+  // the slack of all waiting commands, it also ends those with the least benefit for their work. Protects
+  // against bursts, costly commands, lost engines and retries. Does harm where estimates are wrong.
   void shedWaiting() {
     for (auto& command : waiting)
       if (!command->ended && !command->engine && isHopeless(*command))
