--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -396,7 +396,7 @@
     auto row = std::ranges::find_if(
         statistics, [&](ProfileStatistics& known) { return known.profile->name == arrival.profile; });
     if (row == statistics.end())
-      throw std::runtime_error("a command of an unknown profile: " + arrival.profile);
+      throw std::runtime_error("command with unknown profile: " + arrival.profile);
     auto command = std::make_shared<CommandState>(*this, *row);
     const Profile& profile = *row->profile;
     command->tableGroup = arrival.tableGroup;
@@ -937,7 +937,7 @@
     if (!engine.ejected) {
       --engineCount;
       ++ejectedCount;
-      log("node %u rests: %s (%.2f against %.2f)", engine.id, reason, figure, reference);
+      log("engine %u ejected: %s %.2f against %.2f", engine.id, reason, figure, reference);
     }
     bool relapse = engine.ejected || now < engine.inServiceSince + kRelapseWindow;
     // A trial is costly where few sends go to one engine, so ejections may last longer there.
@@ -956,7 +956,7 @@
     engine.inServiceSince = now;
     engine.failures = SlidingWindowSum(kFailureWindow);
     actions.ejectionChanged(engine.id, false);
-    log("node %u is back: %d trials answered", engine.id, engine.trialsAnswered);
+    log("engine %u back in service: %d trials answered", engine.id, engine.trialsAnswered);
   }
 
   // Failures that eject an engine, and answered trials that return it to service: fewer where few sends go to
@@ -998,7 +998,7 @@
     bool worseOdds = (failures + 1) * otherAnswers > kFailureOddsRatio * (otherFailures + 1) * (answers + 1);
     if (failures < evidenceNeeded() || failureShare <= kMinFailureShare + otherShare / 2 || !worseOdds)
       return;
-    eject(engine, "it fails", failureShare, otherShare);
+    eject(engine, "failure share", failureShare, otherShare);
     if (settings.cancelSupported)
       for (auto& command : engine.outstanding)
         if (!command->cancelled && command->profile().retrySafety != RetrySafety::nonReplayable) {
@@ -1188,13 +1188,13 @@
       }
     }
     if (anyPressure != underPressure)
-      log("pressure %s: latency %.1f times the best", anyPressure ? "shown" : "over", worstRatio);
+      log("pressure %s: latency %.1f times the best", anyPressure ? "shown" : "ended", worstRatio);
     underPressure = anyPressure;
     if (budgetScheduler)
       preempt();
     if (overloaded && now > overloadedUntil) {
       overloaded = false;
-      log("overload over: %zu held", waiting.size());
+      log("overload ended: %zu commands held", waiting.size());
     }
     shedWaiting();
   }
@@ -1376,7 +1376,8 @@
     policy.returnToService(lastEngine);
   } else if (wasTrial && lastEngine.ejected && !answered && outcome != Outcome::overloaded &&
              outcome != Outcome::notStarted) {
-    policy.eject(lastEngine, "trial failed", lastEngine.trialsAnswered, policy.evidenceNeeded());
+    policy.eject(lastEngine, "trial failed, trials answered", lastEngine.trialsAnswered,
+                 policy.evidenceNeeded());
   }
   // Estimates and latency ratios. A command that used more memory than it was granted has spilled to
   // disk, and its latency says nothing about the engine's load.
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -277,11 +277,11 @@
   traffic(101.7);
   int before = scene.sent[2];
   CHECK_GT(before, 0);
-  CHECK_NE(scene.trace.str().find("node 2 rests: it fails"), std::string::npos);
+  CHECK_NE(scene.trace.str().find("engine 2 ejected: failure share"), std::string::npos);
   silent = false;
   traffic(104);
   CHECK_GT(scene.sent[2], before + 2);
-  CHECK_NE(scene.trace.str().find("node 2 is back: 3 trials answered"), std::string::npos);
+  CHECK_NE(scene.trace.str().find("engine 2 back in service: 3 trials answered"), std::string::npos);
 }
 
 TEST_CASE("a node that fails fast rests; when all fail, none is to blame") {
@@ -294,7 +294,7 @@
       scene.ends(c, all || scene.at[c] == 2 ? Outcome::error : Outcome::answered, 0.05);
       scene.to(scene.now + 0.02);
     }
-    CHECK_EQ(scene.trace.str().find("rests: it fails") == std::string::npos, all);
+    CHECK_EQ(scene.trace.str().find("ejected: failure share") == std::string::npos, all);
   }
 }
 
@@ -367,8 +367,8 @@
     else
       scene.commands[c]->statusReported(StatusTopic::progress, 0.1);
   }
-  CHECK_NE(scene.trace.str().find("node 2 rests: it fails"), std::string::npos);
-  CHECK_EQ(scene.trace.str().find("node 1 rests"), std::string::npos);
+  CHECK_NE(scene.trace.str().find("engine 2 ejected: failure share"), std::string::npos);
+  CHECK_EQ(scene.trace.str().find("engine 1 ejected"), std::string::npos);
 }
 
 TEST_CASE("with many gateways an empty node is drawn for, not taken for granted") {
@@ -471,8 +471,8 @@
     bool fails = scene.at[numbered("c", i)] == 2 && scene.now < 106;
     scene.ends(numbered("c", i), fails ? Outcome::error : Outcome::answered, 0.1, true);
   }
-  CHECK_NE(scene.trace.str().find("node 2 rests: it fails (1.00 against 0.00)"), std::string::npos);
-  CHECK_NE(scene.trace.str().find("node 2 is back: 1 trials answered"), std::string::npos);
+  CHECK_NE(scene.trace.str().find("engine 2 ejected: failure share 1.00 against 0.00"), std::string::npos);
+  CHECK_NE(scene.trace.str().find("engine 2 back in service: 1 trials answered"), std::string::npos);
 }
 
 TEST_CASE("pauses after full refusals double until an answer comes") {
@@ -539,7 +539,7 @@
                true);
   }
   scene.to(scene.now + 0.2);
-  REQUIRE_NE(scene.trace.str().find("node 1 rests"), std::string::npos);
+  REQUIRE_NE(scene.trace.str().find("engine 1 ejected"), std::string::npos);
   scene.nodes({1}, EngineState::removed, {}, EngineListKind::delta);
   scene.to(scene.now + 6);
   scene.nodes({1}, EngineState::inService, {}, EngineListKind::delta);
@@ -596,6 +596,6 @@
   failing({0.1, 0.1, 0.1, 0.1, 0.1}, 40);
   failing({0.45, 0.33, 0.1, 0.1, 0.1}, 60);
   auto trace = scene.trace.str();
-  CHECK_NE(trace.find("node 1 rests: it fails"), std::string::npos);
-  CHECK_EQ(trace.find("node 2 rests: it fails"), std::string::npos);
+  CHECK_NE(trace.find("engine 1 ejected: failure share"), std::string::npos);
+  CHECK_EQ(trace.find("engine 2 ejected: failure share"), std::string::npos);
 }
