--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -54,9 +54,9 @@
 constexpr double kListRetryMax = 1.0;      // seconds
 
 // --- Queues: deficit round-robin
-constexpr double kQuantum = 0.05;       // core-seconds a round, for a weight of 1
-constexpr double kMaxCredit = 40;       // quanta that a queue may save
-constexpr double kBulkLoadQueues = 64;  // queues for bulk loads of a tenant, by table group
+constexpr double kQuantum = 0.05;         // core-seconds a round, for a weight of 1
+constexpr double kMaxCredit = 40;         // quanta that a queue may save
+constexpr uint64_t kBulkLoadQueues = 64;  // queues for bulk loads of a tenant, by table group
 
 // --- Admission by the mark
 constexpr double kMark = 2;                 // threads a core
@@ -121,7 +121,7 @@
 constexpr double kSlottedShare = 0.08;     // share of the fleet below which a gateway uses slots
 constexpr double kSlotsPerWindow = 2;      // slots in a coldOverloadWindow
 constexpr double kSlotBudgetShare = 0.25;  // of the budget: a window overlaps 3 slots, slow sends reach a 4th
-constexpr double kSlotHolders = 2;         // gateways that share a slot
+constexpr int kSlotHolders = 2;            // gateways that share a slot
 constexpr double kSlottedCapacityUse = 0.5;  // share of its cores that counts, as not every slot finds work
 
 // --- Outlier detection
@@ -446,7 +446,7 @@
     if (!command.profile().bulkLoad)
       return queue;
     // Bulk loads have queues by table group: one that waits for its group doesn't block the others.
-    return queue.child(std::to_string(command.tableGroup % uint64_t(kBulkLoadQueues)), 1);
+    return queue.child(std::to_string(command.tableGroup % kBulkLoadQueues), 1);
   }
 
   void enqueue(CommandState& command, bool atFront) {
@@ -759,9 +759,9 @@
       budget += 2 * (std::sqrt(budget / usualWork) + 1) * usualWork;
     int64_t slot = int64_t(std::floor((now - *engine.startedAt) / slotLength));
     int64_t held = 0;
-    for (int i = 0; i < int(kSlotHolders); ++i)
-      held += int(rendezvousHash(engine.id, ~uint64_t(slot * int(kSlotHolders) + i)) *
-                  settings.gatewayCount) == engine.gatewayRank;
+    for (int i = 0; i < kSlotHolders; ++i)
+      held += int(rendezvousHash(engine.id, ~uint64_t(slot * kSlotHolders + i)) * settings.gatewayCount) ==
+              engine.gatewayRank;
     // A slot that began before this process started may have been used by its predecessor.
     if (held == 0 || *engine.startedAt + double(slot) * slotLength < startTime)
       return 0;
