--- a/bench/engines_bench.cpp
+++ b/bench/engines_bench.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "policy.h"
-#include "view/view.h"
+#include "view/engine_subset.h"
 
 using namespace elmcleat;
 
@@ -46,7 +46,7 @@
 };
 
 // `plan`: a view of the list, of 2,400 dispatchers; none: the whole list.
-Cost costOf(uint32_t engines, const view::Plan* plan) {
+Cost costOf(uint32_t engines, const view::SubsetSettings* plan) {
   Settings set;
   Profile quick;
   quick.name = "quick", quick.latencyTarget = 1, quick.latencyTargetStretch = 2, quick.clientTimeout = 5,
@@ -58,23 +58,23 @@
   set.gatewayCount = 2400, set.ordinal = 7, set.maxSends = 3, set.coldCapacity = 0.4, set.coldDuration = 10;
   set.coldOverloadFactor = 2, set.coldOverloadWindow = 1, set.probingSupported = true;
   long before = residentKb();
-  ListEvent whole{1, true, std::vector<Listing>(engines)};
+  EngineListEvent whole{1, true, std::vector<ListedEngine>(engines)};
   for (uint32_t i = 0; i < engines; ++i) {
-    whole.rows[i].row = {i + 1, "a", "eight", 0, EngineState::inService, {}};
-    whole.rows[i].address = {0x0a000001 + i, 4100};
+    whole.engines[i].record = {i + 1, "a", "eight", 0, EngineState::inService, {}};
+    whole.engines[i].address = {0x0a000001 + i, 4100};
   }
-  std::optional<view::View> seen;
+  std::optional<view::EngineSubset> seen;
   if (plan)
     seen.emplace(*plan, set);
   std::vector<EngineRecord> rows;
   if (seen)
     for (auto& listing : seen->apply(whole, 0))
-      rows.push_back(listing.row);
+      rows.push_back(listing.record);
   else
-    for (auto& listing : whole.rows)
-      rows.push_back(listing.row);
+    for (auto& listing : whole.engines)
+      rows.push_back(listing.record);
   Sink sink;
-  auto policy = createPolicy(seen ? seen->local() : set, 7, sink);
+  auto policy = createPolicy(seen ? seen->localSettings() : set, 7, sink);
   double now = 0;
   policy->advanceTo(now);
   policy->updateEngines(EngineListKind::full, rows), policy->decide();
@@ -116,9 +116,10 @@
       "| engines listed | in use | sweep, us | part of a core at 20 sweeps a second | command, us | memory, "
       "KB |\n"
       "| --- | --- | --- | --- | --- | --- |\n");
-  view::Plan plan;
+  view::SubsetSettings plan;
   for (uint32_t engines : {10, 80, 344, 350, 1024, 4096, 16384, 44000})
-    for (const view::Plan* which : {static_cast<const view::Plan*>(nullptr), &std::as_const(plan)}) {
+    for (const view::SubsetSettings* which :
+         {static_cast<const view::SubsetSettings*>(nullptr), &std::as_const(plan)}) {
       Cost cost = costOf(engines, which);
       std::printf("| %u%s | %ld | %.1f | %.4f | %.1f | %ld |\n", engines, which ? ", view" : "", cost.inUse,
                   cost.sweep, cost.sweep * 20e-6, cost.command, cost.memory);
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -23,14 +23,14 @@
 using EngineRecords = std::vector<EngineRecord>;
 
 Outcome readOutcome(const std::string& name) {
-  return named<Outcome>(name, {{"delivered", Outcome::answered},
-                               {"app_error", Outcome::error},
-                               {"shed", Outcome::overloaded},
-                               {"expired", Outcome::timedOut},
-                               {"dial_failed", Outcome::connectFailed},
-                               {"dropped", Outcome::reset},
-                               {"revoked", Outcome::cancelled},
-                               {"unused", Outcome::notStarted}});
+  return enumFromName<Outcome>(name, {{"delivered", Outcome::answered},
+                                      {"app_error", Outcome::error},
+                                      {"shed", Outcome::overloaded},
+                                      {"expired", Outcome::timedOut},
+                                      {"dial_failed", Outcome::connectFailed},
+                                      {"dropped", Outcome::reset},
+                                      {"revoked", Outcome::cancelled},
+                                      {"unused", Outcome::notStarted}});
 }
 
 std::optional<LoadReport> readLoadReport(const Json& event) {
@@ -57,14 +57,14 @@
   for (auto& line : lines) {
     const Section fields(line);
     EngineRecord record;
-    record.id = fields.need<uint32_t>("node");
+    record.id = fields.required<uint32_t>("node");
     record.zone = fields.get<std::string>("rackZone", "");
     record.kind = fields.get<std::string>("type", "");
     record.cell = fields.get("unitGroup", 0);
-    record.state = fields.word<EngineState>("condition", "in_service",
-                                            {{"in_service", EngineState::inService},
-                                             {"terminating", EngineState::draining},
-                                             {"terminated", EngineState::removed}});
+    record.state = fields.choice<EngineState>("condition", "in_service",
+                                              {{"in_service", EngineState::inService},
+                                               {"terminating", EngineState::draining},
+                                               {"terminated", EngineState::removed}});
     if (double started = fields.seconds("bootTimeUs"); started > 0)
       record.startedAt = started;
     records.push_back(std::move(record));
@@ -176,7 +176,7 @@
     forgetEnded();
     const Section fields(event);
     Arrival arrival;
-    arrival.profile = fields.need<std::string>("profile");
+    arrival.profile = fields.required<std::string>("profile");
     if (auto tenant = event.find("billing"); tenant != event.end() && tenant->is_string())
       arrival.tenant = tenant->get<std::string>();
     arrival.tableGroup = fields.get<uint64_t>("dataGroup", 0);
@@ -185,7 +185,7 @@
     arrival.estimatedWork = fields.seconds("costUs");
     arrival.estimatedMemoryMb = fields.get("needMb", 0.0);
     arrival.remainingTime = fields.seconds("expiresInUs");
-    auto rid = fields.need<std::string>("rid");
+    auto rid = fields.required<std::string>("rid");
     auto command = policy_->submit(arrival);
     ids_.emplace(command.get(), rid);
     commands_[rid].command = std::move(command);
@@ -203,7 +203,7 @@
     bool final = fields.get("final", false);
     --entry->sendsOut;
     entry->ended |= final;
-    entry->command->sendFinished(readOutcome(fields.need<std::string>("result")),
+    entry->command->sendFinished(readOutcome(fields.required<std::string>("result")),
                                  fields.seconds("timeTakenUs"), final, usage ? &*usage : nullptr,
                                  report ? &*report : nullptr);
     forgetIfDone(*entry);
@@ -213,7 +213,7 @@
     if (!entry)
       return;
     const Section fields(event);
-    int topic = fields.need<int>("topic");
+    int topic = fields.required<int>("topic");
     if (topic < 1 || topic > 3)
       return;
     static constexpr StatusTopic kTopics[] = {StatusTopic::progress, StatusTopic::spilling,
@@ -230,11 +230,11 @@
     forgetIfDone(*entry);
   }
   void updateEngines(const Json& event, const std::map<int, EngineRecords>& pages) {
-    auto kind =
-        named<EngineListKind>(event.at("scope").get<std::string>(), {{"diff", EngineListKind::delta},
-                                                                     {"snapshot", EngineListKind::full},
-                                                                     {"disk", EngineListKind::full},
-                                                                     {"error", EngineListKind::error}});
+    auto kind = enumFromName<EngineListKind>(event.at("scope").get<std::string>(),
+                                             {{"diff", EngineListKind::delta},
+                                              {"snapshot", EngineListKind::full},
+                                              {"disk", EngineListKind::full},
+                                              {"error", EngineListKind::error}});
     static const EngineRecords kNoRecords;
     policy_->updateEngines(
         kind, kind == EngineListKind::error ? kNoRecords : pages.at(event.at("page").get<int>()));
--- a/tests/threads_test.cpp
+++ b/tests/threads_test.cpp
@@ -5,7 +5,7 @@
 #include <atomic>
 #include <thread>
 
-#include "control/control.h"
+#include "control/control_thread.h"
 #include "runtime/log.h"
 #include "service.h"
 
@@ -16,17 +16,17 @@
   struct Pair {
     uint64_t one, two;
   };
-  Latest<Pair> latest;
-  CHECK_EQ(latest.get(), nullptr);
+  LatestValue<Pair> latest;
+  CHECK_EQ(latest.read(), nullptr);
   constexpr uint64_t kCount = 100'000;
   std::thread writer([&] {
     for (uint64_t i = 1; i <= kCount; ++i)
-      latest.put(std::make_unique<const Pair>(Pair{i, ~i}));
+      latest.publish(std::make_unique<const Pair>(Pair{i, ~i}));
   });
   uint64_t last = 0;
   bool whole = true, onward = true;
   while (last < kCount) {
-    const Pair* pair = latest.get();
+    const Pair* pair = latest.read();
     if (!pair)
       continue;
     whole = whole && pair->two == ~pair->one, onward = onward && pair->one >= last;
@@ -35,19 +35,19 @@
   writer.join();
   CHECK(whole);
   CHECK(onward);
-  CHECK_EQ(latest.get()->one, kCount);  // and it stays until there is another
+  CHECK_EQ(latest.read()->one, kCount);  // and it stays until there is another
 }
 
 TEST_CASE("two control threads find each other, tell their views, and end when told") {
   Clock clock;
   sockaddr_in one = Listener().address, two = Listener().address;
   auto own = [](const sockaddr_in& at) { return Address{ntohl(at.sin_addr.s_addr), ntohs(at.sin_port)}; };
-  members::Plan plan;
+  members::MembershipSettings plan;
   plan.fleet = "threads", plan.peers = {{"n0", own(one)}, {"n1", own(two)}};
-  Control first(clock, plan, "n0", 1), second(clock, plan, "n1", 2);
-  auto there = [&](Control& control) {
-    const Told* told = control.latest(clock.now());
-    return told ? told->members.there : 0;
+  ControlThread first(clock, plan, "n0", 1), second(clock, plan, "n1", 2);
+  auto there = [&](ControlThread& control) {
+    const ControlSnapshot* told = control.latest(clock.now());
+    return told ? told->members.presentMembers : 0;
   };
   auto until = [&](size_t wanted) {
     for (double end = now() + 8; now() < end; pause(0.01)) {
@@ -59,10 +59,10 @@
   };
   CHECK(until(2));
   CHECK(second.stop());
-  CHECK(until(1));                                                 // it said goodbye
-  CHECK_THROWS_AS(Control(clock, plan, "n2", 3), members::Fault);  // no such name
-  CHECK_THROWS_AS(Control(clock, plan, "n0", 3), members::Fault);  // taken
-  CHECK_EQ(first.latest(clock.now() + 60), nullptr);               // too old to act on
+  CHECK(until(1));                                                       // it said goodbye
+  CHECK_THROWS_AS(ControlThread(clock, plan, "n2", 3), members::Error);  // no such name
+  CHECK_THROWS_AS(ControlThread(clock, plan, "n0", 3), members::Error);  // taken
+  CHECK_EQ(first.latest(clock.now() + 60), nullptr);                     // too old to act on
   CHECK_NE(first.latest(clock.now()), nullptr);
   CHECK(first.stop());
 }
@@ -70,20 +70,20 @@
 TEST_CASE("a rate goes by loans from one control thread to the other, once the lender's traffic heeds it") {
   Clock clock;
   sockaddr_in one = Listener().address, two = Listener().address;
-  members::Plan plan;
+  members::MembershipSettings plan;
   plan.fleet = "threads";
   for (auto& at : {one, two})
     plan.peers.push_back(
         {"n" + std::to_string(plan.peers.size()), {ntohl(at.sin_addr.s_addr), ntohs(at.sin_port)}});
-  Sharing sharing;
-  sharing.terms.members = 2, sharing.terms.amounts = {10}, sharing.rates = {{"a", false, 10}};
-  Control borrower(clock, plan, "n0", 1, sharing), lender(clock, plan, "n1", 2, sharing);
-  auto look = [&](Control& control, double want, bool heeds) {  // as a traffic thread does
-    const Told* told = control.usable();
-    control.want({want});
+  QuotaSharing sharing;
+  sharing.settings.memberCount = 2, sharing.settings.quotas = {10}, sharing.rates = {{"a", false, 10}};
+  ControlThread borrower(clock, plan, "n0", 1, sharing), lender(clock, plan, "n1", 2, sharing);
+  auto look = [&](ControlThread& control, double want, bool heeds) {  // as a traffic thread does
+    const ControlSnapshot* told = control.latestQuotas();
+    control.setDemand({want});
     if (heeds)
-      control.heeded(told->members.number);
-    return told->usable[0].at(clock.now());
+      control.acknowledge(told->members.number);
+    return told->quotas[0].availableAt(clock.now());
   };
   double most = 0;
   for (double end = now() + 4; now() < end; pause(0.005)) {
--- a/tests/view_test.cpp
+++ b/tests/view_test.cpp
@@ -2,7 +2,7 @@
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
-#include "view_scene.h"
+#include "subset_fixture.h"
 
 using namespace scene;
 
@@ -26,7 +26,7 @@
     std::set<int> places;
     for (int i = 0; i < dispatchers; ++i) {
       int place = placeBySorting(id, i, dispatchers);
-      RC_ASSERT(placeOf(id, i, dispatchers, cap) == std::min(place, cap));
+      RC_ASSERT(rendezvousRank(id, i, dispatchers, cap) == std::min(place, cap));
       places.insert(place);
     }
     RC_ASSERT(int(places.size()) == dispatchers);
@@ -34,11 +34,11 @@
   std::vector<int> first(100);  // and none is favoured, with ids and ordinals that count up
   for (uint32_t id = 0; id < 20000; ++id)
     for (int i = 0; i < 100; ++i)
-      first[size_t(i)] += placeOf(id, i, 100, 1) == 0;
+      first[size_t(i)] += rendezvousRank(id, i, 100, 1) == 0;
   int both = 0;  // nor does one follow from another: 2,000 engines, 99 pairs, a hundredth of them by chance
   for (uint32_t id = 0; id < 2000; ++id)
     for (int i = 0; i < 99; ++i)
-      both += placeOf(id, i + 1, 100, 10) < 10 && placeOf(id + 1, i, 100, 10) < 10;
+      both += rendezvousRank(id, i + 1, 100, 10) < 10 && rendezvousRank(id + 1, i, 100, 10) < 10;
   CHECK_LT(std::abs(both - 1980), 5 * std::sqrt(1980));
   auto [least, most] = std::ranges::minmax(first);
   CHECK_GT(least, 200 - 5 * std::sqrt(200));
@@ -48,14 +48,15 @@
 TEST_CASE("an engine has its users, each with a place of its own, whatever lists they have") {
   CHECK(rc::check([] {
     int dispatchers = *rc::gen::inRange(1, 20);
-    Plan plan = planOf(*rc::gen::inRange(1, 8), 8 + *rc::gen::inRange(0, 8), *rc::gen::inRange(1, 4));
+    SubsetSettings plan =
+        planOf(*rc::gen::inRange(1, 8), 8 + *rc::gen::inRange(0, 8), *rc::gen::inRange(1, 4));
     auto ids = *rc::gen::unique<std::vector<uint32_t>>(rc::gen::arbitrary<uint32_t>());
     int64_t born = int64_t(kBegin * 1000);
     std::map<uint32_t, std::set<int>> users, listers;
     std::map<uint32_t, int> all;
     int bound = 0;
     for (int i = 0; i < dispatchers; ++i) {
-      Dispatcher one(plan, dispatchers, i);
+      SubsetHarness one(plan, dispatchers, i);
       Model model{plan, dispatchers, i};
       auto known = *rc::gen::container<std::vector<bool>>(
           ids.size(), rc::gen::weightedElement<bool>({{4, true}, {1, false}}));
@@ -65,18 +66,18 @@
       for (auto& [id, row] : model.list)
         one.changes({row}), listers[id].insert(i);
       for (size_t e = 0; e < ids.size(); e += 2)
-        one.view.rests(ids[e], true);
+        one.view.setEjected(ids[e], true);
       one.take(one.view.tick(kBegin));
       for (auto& [id, told] : one.engines) {
         ++all[id];
-        if (told.row.rank)
-          RC_ASSERT(users[id].insert(*told.row.rank).second);
-        RC_ASSERT((told.row.rank || id % 5 != 0));  // cold
+        if (told.record.rank)
+          RC_ASSERT(users[id].insert(*told.record.rank).second);
+        RC_ASSERT((told.record.rank || id % 5 != 0));  // cold
       }
       for (int which = 0; which < kClasses; ++which)
         bound = std::max(bound, model.boundOf(which));
     }
-    int first = std::min(plan.users, dispatchers);
+    int first = std::min(plan.usersPerEngine, dispatchers);
     for (auto& [id, by] : listers) {
       std::set<int> should;
       for (int i : by)
@@ -93,10 +94,10 @@
 TEST_CASE("whatever comes, a view is in order, within its bound, has enough, and forgets how it came about") {
   CHECK(rc::check([] {
     int dispatchers = *rc::gen::inRange(1, 40), users = *rc::gen::inRange(1, 10);
-    Plan plan = planOf(users, users + *rc::gen::inRange(0, 12), *rc::gen::inRange(1, 6),
-                       *rc::gen::element(0.0, 0.5, 1.0));
+    SubsetSettings plan = planOf(users, users + *rc::gen::inRange(0, 12), *rc::gen::inRange(1, 6),
+                                 *rc::gen::element(0.0, 0.5, 1.0));
     int ordinal = *rc::gen::inRange(0, dispatchers);
-    Dispatcher one(plan, dispatchers, ordinal);
+    SubsetHarness one(plan, dispatchers, ordinal);
     Model model{plan, dispatchers, ordinal};
     double now = kBegin;
     auto sound = [&](double at) {
@@ -104,10 +105,10 @@
       RC_ASSERT(model.broken(one, at) == "");
     };
     for (auto& [kind, id, way] : *steps()) {
-      Listing row = engineOf(id, way & 1, way & 2, way & 4 ? int64_t(now * 1000) - 5000 : 0);
+      ListedEngine row = engineOf(id, way & 1, way & 2, way & 4 ? int64_t(now * 1000) - 5000 : 0);
       if (auto known = model.list.find(id); known != model.list.end() && What(kind) != What::add)
         row = known->second;
-      std::vector<Listing> rows;
+      std::vector<ListedEngine> rows;
       switch (What(kind)) {
         case What::whole: {  // of all that is known up to some id, and some that are not
           std::erase_if(model.list, [&](auto& known) {
@@ -120,28 +121,28 @@
             rows.push_back(listing);
           std::ranges::reverse(rows);
           if (!rows.empty())
-            rows.insert(rows.begin(), engineOf(rows[0].row.id, false, true, 99));  // not the last
+            rows.insert(rows.begin(), engineOf(rows[0].record.id, false, true, 99));  // not the last
           one.whole(rows, now);
           break;
         }
         case What::takeAway:
-          row.row.state = kGone;
+          row.record.state = kGone;
           break;
         case What::drain:
-          row.row.state = kDraining;
+          row.record.state = kDraining;
           break;
         case What::restart:
-          row.bornMs = int64_t(now * 1000), row.row.state = kIn,
+          row.startedAtUnixMs = int64_t(now * 1000), row.record.state = kIn,
           row.address.port = uint16_t(row.address.port + way);
           break;
         case What::move:
-          row.row.zone = row.row.zone == "e" ? "w" : "e";
+          row.record.zone = row.record.zone == "e" ? "w" : "e";
           break;
         case What::unfit:
         case What::fit:
           for (auto& [near, told] : one.engines)
             if (int(near % 8) <= way)
-              one.view.rests(near, What(kind) == What::unfit),
+              one.view.setEjected(near, What(kind) == What::unfit),
                   What(kind) == What::unfit ? void(model.unfit.insert(near)) : void(model.unfit.erase(near));
           break;
         case What::wait:
@@ -165,17 +166,17 @@
     one.until(now + 500, sound);
     RC_ASSERT(model.broken(one, now + 500, true) == "");
     for (auto& [id, told] : one.engines)
-      one.view.rests(id, false);
+      one.view.setEjected(id, false);
     model.unfit.clear();
     one.until(now + 1000, sound);
-    Dispatcher anew(plan, dispatchers, ordinal);
-    std::vector<Listing> rows;
+    SubsetHarness anew(plan, dispatchers, ordinal);
+    std::vector<ListedEngine> rows;
     for (auto& [id, row] : model.list)
       rows.push_back(row);
     anew.whole(rows, now + 1000);
     RC_ASSERT(model.broken(anew, now + 1000, true) == "");
     RC_ASSERT(anew.inService() == one.inService());
-    RC_ASSERT(one.view.wakes() == HUGE_VAL);
+    RC_ASSERT(one.view.nextWakeUp() == HUGE_VAL);
   }));
 }
 
@@ -184,11 +185,11 @@
     constexpr int kDispatchers = 20;
     auto id = *rc::gen::inRange<uint32_t>(1, 600);
     auto rows = enginesOf(400);
-    std::vector<Dispatcher> all;
+    std::vector<SubsetHarness> all;
     for (int i = 0; i < kDispatchers; ++i)
       all.emplace_back(planOf(8, 16, 4), kDispatchers, i), all[i].whole(rows);
-    Listing row = engineOf(id, false, false);
-    row.address.port = 1, row.row.state = *rc::gen::element(kIn, kGone, kDraining);
+    ListedEngine row = engineOf(id, false, false);
+    row.address.port = 1, row.record.state = *rc::gen::element(kIn, kGone, kDraining);
     int users = 0;
     for (auto& one : all) {
       uint64_t told = one.told;
@@ -196,6 +197,6 @@
       RC_ASSERT(one.told - told <= 1);
       users += int(one.told - told);
     }
-    RC_ASSERT(users == (id <= 400 || row.row.state != kGone ? 8 : 0));
+    RC_ASSERT(users == (id <= 400 || row.record.state != kGone ? 8 : 0));
   }));
 }
