--- a/src/policy.h
+++ b/src/policy.h
@@ -7,7 +7,8 @@
 // module acts through the ActionSink.
 //
 // Units: times and durations are seconds, on one clock whose origin is the host's choice; work is
-// core-seconds; memory is MB; shares lie between 0 and 1.
+// core-seconds; memory is MB; shares lie between 0 and 1. The rules that comments refer to by number are
+// listed in src/policy.cpp.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -39,11 +40,16 @@
   cancelled,      // cancelled at the module's request
   notStarted,     // the host never passed it to the engine
 };
+// State of an engine in the list. A draining engine finishes what it runs and gets nothing new (rule 3).
 enum class EngineState { inService, draining, removed };
 // How a list of engines is to be read: complete, changes only, or the list could not be read.
 enum class EngineListKind { full, delta, error };
-// What an engine reports about a running send.
-enum class StatusTopic { progress, spilling, queued };
+// What an engine reports about a send that is out.
+enum class StatusTopic {
+  progress,
+  spilling,  // it writes intermediate results to disk
+  queued,    // it doesn't run yet: the engine is under pressure
+};
 
 // A class of commands with the same objectives and placement.
 struct Profile {
@@ -64,16 +70,19 @@
   std::vector<std::string> allowedZones;  // empty: any
   std::vector<std::string> allowedKinds;  // empty: any
 };
+// A tenant and its part of the service.
 struct Tenant {
   std::string name;
   double share = 1;  // share of the service when all tenants have commands waiting
   double quota = 0;  // commands a second within the share, over all gateways; 0: none
 };
+// A kind of engine hardware.
 struct EngineKind {
   std::string name;
   double cores = 1;
   double memoryMb = 0;  // 0: unknown, memory is not limited
 };
+// Settings of the module, fixed for its lifetime.
 struct Settings {
   int gatewayCount = 1;
   int ordinal = -1;  // index of this gateway among all, from 0; negative: unknown
@@ -155,7 +164,8 @@
   virtual ~Command() = default;
   // Part of a streamed answer has been passed to the client: the command can't be sent again.
   virtual void streamingStarted() = 0;
-  // An engine's status message for the running send.
+  // An engine's status message for the running send. The meaning of `level` depends on the topic; the module
+  // ignores it.
   virtual void statusReported(StatusTopic topic, double level) = 0;
   // The send that is out has ended. `took`: seconds since the send. `final`: the client has its final answer,
   // so the module takes no further action. `usage` and `report` may be null.
@@ -175,7 +185,7 @@
   virtual ~ActionSink() = default;
   // Sends the command to an engine; the host reports the end by Command::sendFinished(). `timeout`: seconds,
   // after which the send ends as timedOut; 0: the command's deadline alone. `beginBy`: a send of which
-  // nothing has been written by then must not begin any more and ends as notStarted.
+  // nothing has been written by then must not begin any more and ends as notStarted; infinite: no limit.
   virtual void send(Command& command, uint32_t engine, double timeout, double beginBy) = 0;
   // Priority, 0 (lowest) to 3, and memory grant in MB (0: none) of the next send, or of the running one.
   virtual void setPriorityAndMemory(Command& command, int priority, double memoryMb) = 0;
@@ -192,6 +202,7 @@
   virtual void requestEngineList() = 0;
   // Requests advanceTo() and decide() at that time.
   virtual void scheduleWakeUp(double time) = 0;
+  // A line for operators, at level info, without a line break.
   virtual void log(const std::string& line) = 0;
   // Outlier detection has ejected an engine or put it back in service.
   virtual void ejectionChanged(uint32_t /*engine*/, bool /*ejected*/) {}
@@ -210,6 +221,7 @@
  public:
   virtual ~BudgetScheduler() = default;
   virtual void advanceTo(double now) = 0;
+  // A command has been submitted. It is known until remove().
   virtual void add(Command& command, const Arrival& arrival) = 0;
   // The command waits to be sent; `again`: not for the first time. `work`: core-seconds.
   virtual void enqueue(Command& command, double work, double memoryMb, bool again) = 0;
@@ -220,6 +232,7 @@
   // The selected command was not sent: no engine had room, or it was not admitted. It waits for `wait`
   // seconds.
   virtual void postpone(Command& command, double wait) = 0;
+  // A send of the command is out, until sendFinished().
   virtual void sendStarted(Command& command) = 0;
   // A send has ended. `billed`: the work that the engine reported, in core-seconds; 0: unknown.
   virtual void sendFinished(Command& command, double billed) = 0;
