--- a/src/members/error.cpp
+++ b/src/members/error.cpp
@@ -3,10 +3,12 @@
 namespace elmcleat::members {
 namespace {
 
-struct Told {
-  const char *name, *remedy;
+// In the order of ErrorKind.
+struct ErrorText {
+  const char* name;
+  const char* remedy;
 };
-constexpr std::array<Told, kErrorKinds> kTold = {{
+constexpr std::array<ErrorText, kErrorKinds> kErrorTexts = {{
     {"peers-forbidden",
      "take the section out of the gateway file, or let the platform allow it with settings.limits.peers"},
     {"not-listed", "add this process's name and address to members.peers, in all processes"},
@@ -31,8 +33,8 @@
 
 }  // namespace
 
-const char* nameOf(ErrorKind errorKind) { return kTold[static_cast<size_t>(errorKind)].name; }
-const char* remedyOf(ErrorKind errorKind) { return kTold[static_cast<size_t>(errorKind)].remedy; }
+const char* nameOf(ErrorKind errorKind) { return kErrorTexts[static_cast<size_t>(errorKind)].name; }
+const char* remedyOf(ErrorKind errorKind) { return kErrorTexts[static_cast<size_t>(errorKind)].remedy; }
 
 std::string describe(ErrorKind errorKind, const std::string& what, const std::string& subject) {
   return "members: " + std::string(nameOf(errorKind)) + ": " + subject + ": " + what + "; " +
--- a/src/members/member_status.h
+++ b/src/members/member_status.h
@@ -1,9 +1,12 @@
-// What is said of one member. Claims are totally ordered and merging is the greater of two, so it is a join: in
-// any order, twice or late, the same comes out.
+// The status of one member, as SWIM orders it. Statuses are totally ordered by (instance, incarnation,
+// state), and merging takes the greater of two. So merging is a join: commutative, associative and
+// idempotent, and replicas that receive the same updates in any order, repeatedly or late, hold the same
+// status.
 //
-// A member alone raises its own incarnation; the others say suspect, down or left of an incarnation, and it answers
-// with a greater one if it is there after all (refutation, as in SWIM). An instance is one life of a process: a
-// restart has a greater one, and makes sure of it (membership.h).
+// Only the member itself raises its incarnation. Other members report an incarnation as suspect, down or
+// left; a member that is still running refutes this with a greater incarnation. An instance is one run of a
+// process: a restarted process has a greater instance (membership.h enforces this when the clock was set
+// back).
 #pragma once
 #include <algorithm>
 #include <compare>
@@ -11,6 +14,7 @@
 
 namespace elmcleat::members {
 
+// In the order of precedence for one incarnation. The values are on the wire.
 enum class MemberState : uint8_t { alive, suspect, down, left };
 constexpr const char* nameOf(MemberState state) {
   constexpr const char* names[] = {"alive", "suspect", "down", "left"};
@@ -18,12 +22,13 @@
 }
 
 struct MemberStatus {
-  uint64_t instance = 0;  // 0: nothing was ever heard of the member
+  uint64_t instance = 0;  // 0: nothing has been received about the member yet
   uint64_t incarnation = 0;
   MemberState state = MemberState::down;
   auto operator<=>(const MemberStatus&) const = default;
 
   bool isKnown() const { return instance > 0; }
+  // Suspected members still count as present.
   bool isPresent() const { return isKnown() && state <= MemberState::suspect; }
 };
 
--- a/src/members/membership.cpp
+++ b/src/members/membership.cpp
@@ -6,154 +6,173 @@
 namespace elmcleat::members {
 namespace {
 
-// --- tuned values; times are parts of a period unless said otherwise
-constexpr double kAnswerIn = 0.4;  // until others are asked; SWIM wants more than a round trip
-constexpr double kNackIn = 0.3;    // until who was asked says that it hears nothing either
-constexpr double kGossip = 0.4;    // from one gossip to the next
-constexpr size_t kGossipTo = 2;    // members told at each
-constexpr size_t kAskers = 3;      // members asked to ping for us
-constexpr int kStrainMost = 8;     // Lifeguard's bound of its local health multiplier
-constexpr double kTellings = 1.5;  // times log2 of the members: how often news is told by each that has it
-constexpr size_t kConfirm = 3;     // members that speak up for the least time of suspicion
-constexpr double kCompareEach =
-    2;  // least time between two comparisons that we begin, drawn from half to 1.5
-constexpr double kCompareSoon = 0.5;  // the same, while the last one brought much
-constexpr size_t kMuch = 8;     // rows that one message changed: more is being found out than gossip carries
-constexpr double kHealing = 4;  // how long many are tried, after one came back that was down
-constexpr size_t kHealTo = 4;   // so many at each gossip
-constexpr double kAlarm = 4, kAlarmed = 0.25;  // after a suspicion: how long probes come so much closer
-constexpr double kLook = 6;         // members of all that look for themselves when they hear of a suspicion
-constexpr double kAloneAfter = 10;  // without a word from anybody
-constexpr double kContest = 120;    // our name may be outbid once in so long: a restart whose clock went back
-constexpr double kStall = 2;        // ticks come several times a period: after this long we were stopped
-constexpr double kGuard = 1.25;     // times the longest promise: clocks and what was on its way
-constexpr size_t kBuckets = 64;     // of the exchange that mends
-constexpr size_t kRowBytes = 28, kHeadBytes = 150;  // of a message on the wire, names left out
-constexpr size_t kErrands = 256;                    // pings for others at once
-
-uint64_t mixed(uint64_t x) {  // splitmix64: names and claims to sums that don't cancel out
+// --- Durations, in probe intervals unless stated otherwise.
+constexpr double kPingTimeout = 0.4;       // until ping-reqs are sent; SWIM requires more than a round trip
+constexpr double kNackDelay = 0.3;         // until the receiver of a ping-req sends a nack
+constexpr double kGossipInterval = 0.4;    // between two rounds of gossip
+constexpr double kSyncInterval = 2;        // least time between two sync requests, times 0.5 to 1.5 at random
+constexpr double kFastSyncInterval = 0.5;  // the same, after a message with kManyChanges
+constexpr double kHealDuration = 4;        // of probing many down members after a partition has healed
+constexpr double kFastProbeDuration = 4;   // of probing faster after a suspicion
+constexpr double kFastProbeFactor = 0.25;  // of the probe interval, while probing faster
+constexpr double kIsolatedAfter = 10;      // without a message from any member
+constexpr double kNameConflictInterval =
+    120;                                 // a process may outbid its name's other instance once in this time
+constexpr double kStallThreshold = 2;    // between ticks, which come several times a probe interval
+constexpr double kPromiseMargin = 1.25;  // times maxPromiseDuration: for clock rates and messages in transit
+// --- Counts and sizes.
+constexpr size_t kGossipFanout = 2;    // members that receive each round of gossip
+constexpr size_t kIndirectProbes = 3;  // members that receive a ping-req for one probe
+constexpr int kMaxLocalHealth = 8;     // Lifeguard's bound of the local health multiplier
+constexpr double kTransmissionFactor =
+    1.5;                                 // times log2 of the members: piggybacked transmissions of an update
+constexpr size_t kMaxConfirmations = 3;  // confirmations after which a suspicion lasts minSuspicionTime
+constexpr size_t kManyChanges = 8;       // updates applied from one message: more than gossip alone can carry
+constexpr size_t kHealFanout = 4;        // down members probed with each round of gossip while healing
+constexpr double kVerifyingMembers =
+    6;                                // members of the fleet that probe at once when they receive a suspicion
+constexpr size_t kSyncBuckets = 64;   // bucket digests of anti-entropy
+constexpr size_t kUpdateBytes = 28;   // of an encoded update, without its two names
+constexpr size_t kHeaderBytes = 150;  // of an encoded message without updates
+constexpr size_t kMaxRelayedProbes = 256;  // ping-reqs served at the same time
+
+// The finalizer of splitmix64: spreads names and statuses so that sums of them do not cancel out.
+uint64_t mix(uint64_t x) {
   x += 0x9e3779b97f4a7c15u;
   x = (x ^ x >> 30) * 0xbf58476d1ce4e5b9u;
   x = (x ^ x >> 27) * 0x94d049bb133111ebu;
   return x ^ x >> 31;
 }
-uint64_t hashOfName(const std::string& name) {  // FNV-1a: the same in all versions
+// FNV-1a, which must be the same in all versions of the program.
+uint64_t hashOfName(const std::string& name) {
   uint64_t hash = 0xcbf29ce484222325u;
   for (unsigned char c : name)
     hash = (hash ^ c) * 0x100000001b3u;
-  return mixed(hash);
+  return mix(hash);
 }
 
 }  // namespace
 
-Membership::Membership(const MembershipSettings& settings, MemberIndex self, const ProcessInstance& life,
+Membership::Membership(const MembershipSettings& settings, MemberIndex self, const ProcessInstance& instance,
                        uint64_t seed, double now)
     : settings_(settings),
       self_(self),
-      life_(life),
-      chance_(seed),
+      instance_(instance),
+      random_(seed),
       now_(now),
       startedAt_(now),
       records_(settings.peers.size()) {
   for (auto& peer : settings_.peers)
     nameHashes_.push_back(hashOfName(peer.name));
-  promisesFrom_ =
-      now + kGuard * settings_.maxPromiseDuration;  // whatever an earlier life of ours promised is over then
-  heardAt_ = now;
-  nextProbe_ = nextGossip_ =
-      now + chance_.uniform() * kGossip * settings_.probeInterval;  // not in step with the others
-  nextCompare_ = now;
-  settle({self_, own()}, self_);
+  // By then all promises of an earlier instance have expired.
+  promisesAllowedFrom_ = now + kPromiseMargin * settings_.maxPromiseDuration;
+  lastHeardAt_ = now;
+  // A random phase, so that members do not probe in step.
+  nextProbe_ = nextGossip_ = now + random_.uniform() * kGossipInterval * settings_.probeInterval;
+  nextSync_ = now;
+  apply({self_, ownStatus()}, self_);
 }
 
-// --- time
+// --- Time
 void Membership::tick(double now) {
-  noticeStall(now);
+  detectStall(now);
   now_ = now;
   if (demoted_)
     return;
-  for (MemberIndex one : suspected_) {
-    if (!at(one).suspicion || now_ < suspectedUntil(at(one)))
+  // Declare members down whose suspicion has not been refuted in time.
+  for (MemberIndex member : suspected_) {
+    if (!recordOf(member).suspicion || now_ < suspicionEndsAt(recordOf(member)))
       continue;
-    MemberStatus down = at(one).status;
+    MemberStatus down = recordOf(member).status;
     down.state = MemberState::down;
-    settle({one, down}, self_);
+    apply({member, down}, self_);
   }
-  std::erase_if(suspected_, [&](MemberIndex one) { return !at(one).suspicion; });
+  std::erase_if(suspected_, [&](MemberIndex member) { return !recordOf(member).suspicion; });
+  // Send nacks for unanswered probes on behalf of others, and drop those that have ended.
   while (!relayedProbes_.empty() && now_ >= relayedProbes_.front().endsAt)
     relayedProbes_.pop_front();
-  for (auto& errand : relayedProbes_)
-    if (!errand.nacked && now_ >= errand.nackAt) {
-      errand.nacked = true;
-      addMessage(MessageKind::nack, errand.asker).probe = errand.askersNumber;
+  for (auto& relayed : relayedProbes_)
+    if (!relayed.nackSent && now_ >= relayed.nackAt) {
+      relayed.nackSent = true;
+      addMessage(MessageKind::nack, relayed.requester).probe = relayed.requesterProbe;
     }
-  for (auto& probe : probing_) {
-    if (probe.asked || now_ < probe.askAt)
+  // Send ping-reqs for own probes without an ack.
+  for (auto& probe : probes_) {
+    if (probe.indirectSent || now_ < probe.indirectAt)
       continue;
-    probe.asked = true;
-    for (MemberIndex helper : drawn(kAskers, MemberState::alive, probe.member)) {
-      Message& ask = addMessage(MessageKind::pingRequest, helper);
-      ask.probe = probe.number, ask.subject = probe.member;
-      ++probe.helpers, ++probe.nacksDue;
+    probe.indirectSent = true;
+    for (MemberIndex relay : randomMembers(kIndirectProbes, MemberState::alive, probe.member)) {
+      Message& request = addMessage(MessageKind::pingRequest, relay);
+      request.probe = probe.number;
+      request.subject = probe.member;
+      ++probe.relays;
+      ++probe.missingNacks;
     }
   }
-  auto over = std::stable_partition(probing_.begin(), probing_.end(),
-                                    [&](auto& probe) { return now_ < probe.endsAt; });
-  std::vector<Probe> late(over, probing_.end());
-  probing_.erase(over, probing_.end());
-  for (auto& probe : late)
-    failed(probe);
+  // Suspect the members whose probes have ended without an ack.
+  auto firstExpired =
+      std::stable_partition(probes_.begin(), probes_.end(), [&](auto& probe) { return now_ < probe.endsAt; });
+  std::vector<Probe> expired(firstExpired, probes_.end());
+  probes_.erase(firstExpired, probes_.end());
+  for (auto& probe : expired)
+    probeFailed(probe);
   if (now_ >= nextProbe_) {
-    double each = settings_.probeInterval * (alarmed() ? kAlarmed : 1);
-    nextProbe_ = std::max(nextProbe_ + each, now_ + each / 2);
+    double interval = settings_.probeInterval * (isProbingFast() ? kFastProbeFactor : 1);
+    nextProbe_ = std::max(nextProbe_ + interval, now_ + interval / 2);
     probe();
-    if (now_ >= nextReach_)
-      nextReach_ = now_ + settings_.probeInterval, probeDownMembers(there_ <= 1 ? kAskers : 1);
+    if (now_ >= nextDownProbe_) {
+      nextDownProbe_ = now_ + settings_.probeInterval;
+      probeDownMembers(presentMembers_ <= 1 ? kIndirectProbes : 1);
+    }
   }
   if (now_ >= nextGossip_) {
-    nextGossip_ = now_ + kGossip * settings_.probeInterval;
+    nextGossip_ = now_ + kGossipInterval * settings_.probeInterval;
     gossip();
   }
-  bool alone = records_.size() > 1 && now_ > heardAt_ + kAloneAfter * settings_.probeInterval;
-  if (alone && !alone_)
-    countError(ErrorKind::isolated),
-        events_.push_back({self_, MemberState::alive, ErrorKind::isolated, "nobody answers"});
-  alone_ = alone;
+  bool isolated = records_.size() > 1 && now_ > lastHeardAt_ + kIsolatedAfter * settings_.probeInterval;
+  if (isolated && !isolated_) {
+    countError(ErrorKind::isolated);
+    events_.push_back({self_, MemberState::alive, ErrorKind::isolated, "nobody answers"});
+  }
+  isolated_ = isolated;
 }
 
 double Membership::nextWakeUp() const {
   if (demoted_)
-    return now_ + settings_.probeInterval;  // or the next tick would take the time between for a stall
-  double at = std::min(nextProbe_, nextGossip_);
-  for (auto& probe : probing_)
-    at = std::min({at, probe.asked ? HUGE_VAL : probe.askAt, probe.endsAt});
-  for (auto& errand : relayedProbes_)
-    at = std::min(at, errand.nacked ? errand.endsAt : errand.nackAt);
-  for (MemberIndex one : suspected_)
-    if (auto& record = this->at(one); record.suspicion)
-      at = std::min(at, suspectedUntil(record));
-  return at;
-}
-
-// Ticks come often. After a long time without, it is us who stood still, and nobody who failed to answer meanwhile is
-// to blame. Guards against stopped processes, throttled cores, suspended machines: without it who wakes declares the
-// whole fleet down. Hurts by detecting a member that failed in that time a little later.
-void Membership::noticeStall(double now) {
-  double stood = now - now_;
-  if (stood < kStall * settings_.probeInterval)
+    return now_ + settings_.probeInterval;  // a longer gap between ticks would be taken for a stall
+  double time = std::min(nextProbe_, nextGossip_);
+  for (auto& probe : probes_)
+    time = std::min({time, probe.indirectSent ? HUGE_VAL : probe.indirectAt, probe.endsAt});
+  for (auto& relayed : relayedProbes_)
+    time = std::min(time, relayed.nackSent ? relayed.endsAt : relayed.nackAt);
+  for (MemberIndex member : suspected_)
+    if (auto& record = recordOf(member); record.suspicion)
+      time = std::min(time, suspicionEndsAt(record));
+  return time;
+}
+
+// Ticks are frequent. A long gap between two of them means that this process was stopped, and members that
+// did not answer meanwhile are not at fault. This covers stopped processes, throttled cores and suspended
+// machines: without it a process that resumes would declare the whole fleet down. The cost is that a member
+// that failed during the gap is detected a little later.
+void Membership::detectStall(double now) {
+  double gap = now - now_;
+  if (gap < kStallThreshold * settings_.probeInterval)
     return;
-  probing_.clear(), relayedProbes_.clear();
+  probes_.clear();
+  relayedProbes_.clear();
   for (auto& record : records_)
     if (record.suspicion)
-      record.suspicion->since += stood;
-  heardAt_ += stood;
-  nextProbe_ = nextGossip_ = nextCompare_ = now;
-  localHealth_ = std::min(localHealth_ + 1, kStrainMost);
-  // Whatever was promised to us or by us may have ended: as after a restart, but that our name is still ours.
-  promisesFrom_ = std::max(promisesFrom_, now + kGuard * settings_.maxPromiseDuration);
+      record.suspicion->since += gap;
+  lastHeardAt_ += gap;
+  nextProbe_ = nextGossip_ = nextSync_ = now;
+  localHealth_ = std::min(localHealth_ + 1, kMaxLocalHealth);
+  // Promises to or by this process may have expired during the gap. As after a restart, except that the name
+  // is still this process's.
+  promisesAllowedFrom_ = std::max(promisesAllowedFrom_, now + kPromiseMargin * settings_.maxPromiseDuration);
 }
 
-// --- what comes
+// --- Received messages
 void Membership::receive(double now, const Message& message) {
   tick(now);
   if (message.from == self_)
@@ -161,10 +180,11 @@
   if (message.to != self_)
     return countError(ErrorKind::misdirected);
   MemberIndex from = message.from;
-  Record& sender = at(from);
-  if (!fresh(message)) {
-    // A copy, or a process whose clock went back and whose name an earlier life has carried further: it has to hear
-    // that, or nobody would ever hear it, if the earlier life left and is asked no more.
+  Record& sender = recordOf(from);
+  if (!acceptSequence(message)) {
+    // A duplicate, or a process that restarted with its clock set back, so that an earlier instance has a
+    // greater number. Such a process has to learn of that instance: if the earlier instance left, it is no
+    // longer probed, and all messages of the new one would be dropped for ever.
     if (!demoted_ && message.instance < sender.status.instance &&
         now_ >= sender.correctedAt + settings_.probeInterval) {
       sender.correctedAt = now_;
@@ -172,56 +192,57 @@
     }
     return countError(ErrorKind::replayed);
   }
-  sender.heardAt = heardAt_ = now_;
+  sender.lastHeardAt = lastHeardAt_ = now_;
   if (demoted_)
     return;
-  sender.said = {message.instance, message.incarnation, MemberState::alive};
-  // One comes back that was down and did not start anew: a cut has healed, and there may be more behind it.
+  sender.selfReported = {message.instance, message.incarnation, MemberState::alive};
+  // The member was down and has not restarted: a partition has healed, and more members may be reachable
+  // again.
   if (sender.status.state == MemberState::down && sender.status.instance == message.instance)
-    healingUntil_ = now_ + kHealing * settings_.probeInterval;
-  uint64_t before = changes_;
-  merge({from, sender.said}, from);
-  for (auto& row : message.updates)
-    if (row.member >= 0)
-      merge(row, from);
-  if (changes_ - before > kMuch)
-    nextCompare_ = std::min(nextCompare_,
-                            now_ + kCompareSoon * settings_.probeInterval * chance_.uniformBetween(0.5, 1.5));
+    healingUntil_ = now_ + kHealDuration * settings_.probeInterval;
+  uint64_t changesBefore = changes_;
+  merge({from, sender.selfReported}, from);
+  for (auto& update : message.updates)
+    if (update.member >= 0)
+      merge(update, from);
+  if (changes_ - changesBefore > kManyChanges)
+    nextSync_ = std::min(
+        nextSync_, now_ + kFastSyncInterval * settings_.probeInterval * random_.uniformBetween(0.5, 1.5));
   if (demoted_)
     return;
   switch (message.kind) {
     case MessageKind::ping: {
       Message& ack = addMessage(MessageKind::ack, from);
       ack.probe = message.probe;
-      addNews(ack, from);
+      piggybackUpdates(ack, from);
       break;
     }
     case MessageKind::pingRequest: {
-      if (message.subject < 0 || message.subject == self_ || relayedProbes_.size() >= kErrands)
+      if (message.subject < 0 || message.subject == self_ || relayedProbes_.size() >= kMaxRelayedProbes)
         break;
-      RelayedProbe errand{++probes_, from, message.probe, now_ + kNackIn * settings_.probeInterval,
-                          now_ + settings_.probeInterval};
-      relayedProbes_.push_back(errand);
+      RelayedProbe relayed{++lastProbe_, from, message.probe, now_ + kNackDelay * settings_.probeInterval,
+                           now_ + settings_.probeInterval};
+      relayedProbes_.push_back(relayed);
       Message& ping = addMessage(MessageKind::ping, message.subject);
-      ping.probe = errand.number;
-      addNews(ping, message.subject);
+      ping.probe = relayed.number;
+      piggybackUpdates(ping, message.subject);
       break;
     }
     case MessageKind::ack: {
-      if (std::erase_if(probing_, [&](auto& probe) { return probe.number == message.probe; }) > 0)
+      if (std::erase_if(probes_, [&](auto& probe) { return probe.number == message.probe; }) > 0)
         localHealth_ = std::max(localHealth_ - 1, 0);
-      for (auto at = relayedProbes_.begin(); at != relayedProbes_.end(); ++at)
-        if (at->number == message.probe) {
-          addMessage(MessageKind::ack, at->asker).probe = at->askersNumber;
-          relayedProbes_.erase(at);
+      for (auto relayed = relayedProbes_.begin(); relayed != relayedProbes_.end(); ++relayed)
+        if (relayed->number == message.probe) {
+          addMessage(MessageKind::ack, relayed->requester).probe = relayed->requesterProbe;
+          relayedProbes_.erase(relayed);
           break;
         }
       break;
     }
     case MessageKind::nack:
-      for (auto& probe : probing_)
-        if (probe.number == message.probe && probe.nacksDue > 0)
-          --probe.nacksDue;
+      for (auto& probe : probes_)
+        if (probe.number == message.probe && probe.missingNacks > 0)
+          --probe.missingNacks;
       break;
     case MessageKind::syncRequest:
       answerSync(message);
@@ -236,272 +257,306 @@
     case MessageKind::gossip:
       break;
   }
-  // Two that know different things mend it: what gossip lost, and all that a join or a healed cut brings.
-  bool mends = message.kind == MessageKind::ping || message.kind == MessageKind::ack ||
-               message.kind == MessageKind::gossip;
-  if (mends && message.digest != digest() && now_ >= nextCompare_)
+  // Anti-entropy: two members whose digests differ exchange updates. This repairs what gossip has lost, and
+  // transfers all that a new member or a healed partition brings.
+  bool startsSync = message.kind == MessageKind::ping || message.kind == MessageKind::ack ||
+                    message.kind == MessageKind::gossip;
+  if (startsSync && message.digest != digest() && now_ >= nextSync_)
     requestSync(from);
   if (message.digest == digest())
-    stopGossip();
+    reduceTransmissions();
 }
 
-// A window of sequences for the life that was heard last. What is older than that, or was heard before, is a copy.
-bool Membership::fresh(const Message& message) {
-  Record& sender = at(message.from);
-  if (message.instance < sender.heardInstance)
+// Protection against replays: a sliding window of 64 sequence numbers for the sender's latest instance.
+// Messages of earlier instances, messages before the window and repeated ones are rejected.
+bool Membership::acceptSequence(const Message& message) {
+  Record& sender = recordOf(message.from);
+  if (message.instance < sender.windowInstance)
     return false;
-  if (message.instance > sender.heardInstance) {
-    sender.heardInstance = message.instance, sender.top = message.sequence, sender.window = 1;
+  if (message.instance > sender.windowInstance) {
+    sender.windowInstance = message.instance;
+    sender.highestSequence = message.sequence;
+    sender.receivedWindow = 1;
     return true;
   }
-  if (message.sequence > sender.top) {
-    uint64_t ahead = message.sequence - sender.top;
-    sender.window = ahead >= 64 ? 1 : sender.window << ahead | 1;
-    sender.top = message.sequence;
+  if (message.sequence > sender.highestSequence) {
+    uint64_t advance = message.sequence - sender.highestSequence;
+    sender.receivedWindow = advance >= 64 ? 1 : sender.receivedWindow << advance | 1;
+    sender.highestSequence = message.sequence;
     return true;
   }
-  uint64_t back = sender.top - message.sequence;
-  if (back >= 64 || sender.window >> back & 1)
+  uint64_t age = sender.highestSequence - message.sequence;
+  if (age >= 64 || sender.receivedWindow >> age & 1)
     return false;
-  sender.window |= uint64_t{1} << back;
+  sender.receivedWindow |= uint64_t{1} << age;
   return true;
 }
 
-// --- claims
-void Membership::merge(const MemberUpdate& row, MemberIndex teller) {
-  const MemberStatus& status = row.status;
-  Record& record = at(row.member);
-  if (row.member != self_) {
+// --- Statuses
+void Membership::merge(const MemberUpdate& update, MemberIndex source) {
+  const MemberStatus& status = update.status;
+  Record& record = recordOf(update.member);
+  if (update.member != self_) {
     if (status > record.status)
-      return settle(row, teller);
-    if (status == record.status && record.suspicion && row.suspectedBy >= 0)
-      confirmSuspicion(record, row.suspectedBy);
+      return apply(update, source);
+    if (status == record.status && record.suspicion && update.suspectedBy >= 0)
+      confirmSuspicion(record, update.suspectedBy);
     return;
   }
-  if (status <= own())
+  if (status <= ownStatus())
     return;
-  if (status.instance != life_.instance)
-    return contest(status);
+  if (status.instance != instance_.instance)
+    return resolveNameConflict(status);
   if (status.state != MemberState::alive)
-    localHealth_ = std::min(localHealth_ + 1, kStrainMost);  // did we miss their pings?
-  life_.incarnation = status.incarnation + 1;
-  settle({self_, own()}, self_);
+    localHealth_ = std::min(localHealth_ + 1, kMaxLocalHealth);  // this process may have missed their pings
+  instance_.incarnation = status.incarnation + 1;
+  apply({self_, ownStatus()}, self_);
 }
 
-void Membership::settle(const MemberUpdate& row, MemberIndex teller) {
-  Record& record = at(row.member);
-  const MemberStatus &status = row.status, was = record.status;
+void Membership::apply(const MemberUpdate& update, MemberIndex source) {
+  Record& record = recordOf(update.member);
+  const MemberStatus& status = update.status;
+  const MemberStatus before = record.status;
   ++changes_;
-  digest_ -= hashOf(row.member);
+  digest_ -= hashOf(update.member);
   record.status = mergedStatus(record.status, status);
-  digest_ += hashOf(row.member);
-  there_ = there_ + size_t(record.status.isPresent()) - size_t(was.isPresent());
-  tell(row.member, tellingsEach());
+  digest_ += hashOf(update.member);
+  presentMembers_ = presentMembers_ + size_t(record.status.isPresent()) - size_t(before.isPresent());
+  queueUpdate(update.member, transmissionLimit());
   if (status.state != MemberState::suspect)
     record.suspicion.reset();
-  else if (!record.suspicion || was.incarnation != status.incarnation) {
-    if (!record.suspicion && std::ranges::find(suspected_, row.member) == suspected_.end())
-      suspected_.push_back(row.member);
+  else if (!record.suspicion || before.incarnation != status.incarnation) {
+    if (!record.suspicion && std::ranges::find(suspected_, update.member) == suspected_.end())
+      suspected_.push_back(update.member);
     record.suspicion = Suspicion{now_, {}};
-    confirmSuspicion(record, row.suspectedBy >= 0 ? row.suspectedBy : teller);
-    // Some look for themselves, at once: it ends sooner so, either way.
-    if (teller != self_ && chance_.uniform() * double(there_) < kLook)
-      round_.push_back(row.member), nextProbe_ = now_;
+    confirmSuspicion(record, update.suspectedBy >= 0 ? update.suspectedBy : source);
+    // Some members probe the suspect at once, so that the suspicion is confirmed or refuted sooner.
+    if (source != self_ && random_.uniform() * double(presentMembers_) < kVerifyingMembers) {
+      probeRound_.push_back(update.member);
+      nextProbe_ = now_;
+    }
   }
-  if (row.member != self_ && (status.state == MemberState::suspect || status.state == MemberState::down))
-    alarmedUntil_ = now_ + kAlarm * settings_.probeInterval;
-  if (row.member == self_ || (was.state == status.state && was.instance == status.instance))
+  if (update.member != self_ && (status.state == MemberState::suspect || status.state == MemberState::down))
+    probingFastUntil_ = now_ + kFastProbeDuration * settings_.probeInterval;
+  if (update.member == self_ || (before.state == status.state && before.instance == status.instance))
     return;
-  std::string why =
-      teller == self_ ? "as seen from here" : "as " + settings_.peers[size_t(teller)].name + " tells";
-  events_.push_back({row.member, status.state, {}, why});
+  std::string reason =
+      source == self_ ? "as seen from here" : "as " + settings_.peers[size_t(source)].name + " tells";
+  events_.push_back({update.member, status.state, {}, reason});
 }
 
-// Somebody lives, or lived, under our name, and later than we by its own word. An earlier life of ours whose clock was
-// ahead is outbid once, and nobody answers; a process that runs answers by outbidding us, and then one of the two has
-// spent its one bid and stands aside. So exactly one goes on, whoever they are.
-void Membership::contest(const MemberStatus& status) {
-  if (contestedAt_ >= 0 && now_ < contestedAt_ + kContest * settings_.probeInterval) {
+// Another process runs, or ran, under this process's name with a greater instance. An earlier instance whose
+// clock was ahead is outbid once, and does not answer. A process that is running answers by outbidding in
+// turn; then the process that has already used its one bid of kNameConflictInterval is demoted. So exactly
+// one of the two goes on.
+void Membership::resolveNameConflict(const MemberStatus& status) {
+  if (nameConflictAt_ >= 0 && now_ < nameConflictAt_ + kNameConflictInterval * settings_.probeInterval) {
     demoted_ = true;
     countError(ErrorKind::duplicateName);
     events_.push_back({self_, MemberState::down, ErrorKind::duplicateName, "it answers to this name"});
-    out_.clear(), probing_.clear(), relayedProbes_.clear();
+    outgoing_.clear();
+    probes_.clear();
+    relayedProbes_.clear();
     return;
   }
-  contestedAt_ = now_;
-  life_.instance = status.instance + 1;
-  life_.incarnation = std::max(life_.incarnation, status.incarnation) + 1;
-  sequence_ = 0;
-  settle({self_, own()}, self_);
+  nameConflictAt_ = now_;
+  instance_.instance = status.instance + 1;
+  instance_.incarnation = std::max(instance_.incarnation, status.incarnation) + 1;
+  lastSequence_ = 0;
+  apply({self_, ownStatus()}, self_);
 }
 
 void Membership::suspect(MemberIndex member) {
-  MemberStatus status = at(member).status;
+  MemberStatus status = recordOf(member).status;
   if (status.state == MemberState::suspect)
-    return confirmSuspicion(at(member), self_);
+    return confirmSuspicion(recordOf(member), self_);
   if (status.state != MemberState::alive)
     return;
   status.state = MemberState::suspect;
-  settle({member, status, self_}, self_);
+  apply({member, status, self_}, self_);
 }
 
 void Membership::confirmSuspicion(Record& record, MemberIndex by) {
-  auto& known = record.suspicion->by;
-  if (known.size() > kConfirm || std::ranges::find(known, by) != known.end())
+  auto& confirmedBy = record.suspicion->confirmedBy;
+  if (confirmedBy.size() > kMaxConfirmations || std::ranges::find(confirmedBy, by) != confirmedBy.end())
     return;
-  known.push_back(by);
-  tell(MemberIndex(&record - records_.data()), tellingsEach());  // so that others' time shrinks as well
+  confirmedBy.push_back(by);
+  // Propagate the confirmation, so that the suspicion ends sooner at the other members too.
+  queueUpdate(MemberIndex(&record - records_.data()), transmissionLimit());
 }
 
-double Membership::suspectedUntil(const Record& record) const {
-  size_t others = record.suspicion->by.size() - 1;                // beside the first
-  size_t want = std::min(kConfirm, there_ > 3 ? there_ - 3 : 0);  // no more than there are to speak up
-  double part = want == 0 ? 1 : std::min(1.0, std::log1p(double(others)) / std::log1p(double(want)));
-  double span = settings_.maxSuspicionTime - (settings_.maxSuspicionTime - settings_.minSuspicionTime) * part;
-  return record.suspicion->since + span * (1 + localHealth_ / 2.0);
+// Lifeguard's dynamic suspicion time: it falls with the logarithm of the confirmations, and grows with the
+// local health multiplier.
+double Membership::suspicionEndsAt(const Record& record) const {
+  size_t confirmations = record.suspicion->confirmedBy.size() - 1;  // without the first detection
+  // No more than there are members to confirm it.
+  size_t wanted = std::min(kMaxConfirmations, presentMembers_ > 3 ? presentMembers_ - 3 : 0);
+  double fraction =
+      wanted == 0 ? 1 : std::min(1.0, std::log1p(double(confirmations)) / std::log1p(double(wanted)));
+  double duration =
+      settings_.maxSuspicionTime - (settings_.maxSuspicionTime - settings_.minSuspicionTime) * fraction;
+  return record.suspicion->since + duration * (1 + localHealth_ / 2.0);
 }
 
-// --- probes
+// --- Probes
 void Membership::probe() {
-  if (probing_.size() >= (alarmed() ? size_t(std::ceil(1 / kAlarmed)) : 1))
-    return;  // under strain they take longer
-  for (size_t tries = 0; tries <= records_.size(); ++tries) {
-    if (round_.empty()) {
+  if (probes_.size() >= (isProbingFast() ? size_t(std::ceil(1 / kFastProbeFactor)) : 1))
+    return;  // with a raised local health multiplier probes take longer than the interval
+  for (size_t attempt = 0; attempt <= records_.size(); ++attempt) {
+    if (probeRound_.empty()) {
       for (size_t i = 0; i < records_.size(); ++i)
         if (MemberIndex(i) != self_ && records_[i].status.isPresent())
-          round_.push_back(MemberIndex(i));
-      if (round_.empty())
+          probeRound_.push_back(MemberIndex(i));
+      if (probeRound_.empty())
         return;
-      for (size_t i = round_.size() - 1; i > 0; --i)
-        std::swap(round_[i], round_[chance_.next() % (i + 1)]);
+      for (size_t i = probeRound_.size() - 1; i > 0; --i)
+        std::swap(probeRound_[i], probeRound_[random_.next() % (i + 1)]);
     }
-    MemberIndex next = round_.back();
-    round_.pop_back();
-    if (!at(next).status.isPresent())
+    MemberIndex next = probeRound_.back();
+    probeRound_.pop_back();
+    if (!recordOf(next).status.isPresent())
       continue;
-    double stretch = 1 + localHealth_;
-    probing_.push_back({++probes_, next, now_ + kAnswerIn * settings_.probeInterval * stretch,
-                        now_ + settings_.probeInterval * stretch});
+    double multiplier = 1 + localHealth_;
+    probes_.push_back({++lastProbe_, next, now_ + kPingTimeout * settings_.probeInterval * multiplier,
+                       now_ + settings_.probeInterval * multiplier});
     Message& ping = addMessage(MessageKind::ping, next);
-    ping.probe = probes_;
-    addNews(ping, next);
+    ping.probe = lastProbe_;
+    piggybackUpdates(ping, next);
     return;
   }
 }
 
-void Membership::failed(const Probe& probe) {
-  // When none of those that were asked says anything either, it points at us. One that says nothing may be down itself:
-  // counted each, as Lifeguard does, a tenth of the fleet that dies slows all others' judgement of it.
-  if (probe.helpers > 0 && probe.nacksDue == probe.helpers)
-    localHealth_ = std::min(localHealth_ + 1, kStrainMost);
+void Membership::probeFailed(const Probe& probe) {
+  // If none of the members that were sent a ping-req has sent a nack, the fault is probably on this side. A
+  // single missing nack may be due to a relay that is down. Lifeguard counts each missing nack; then the
+  // failure of a tenth of the fleet would slow down its detection by all others.
+  if (probe.relays > 0 && probe.missingNacks == probe.relays)
+    localHealth_ = std::min(localHealth_ + 1, kMaxLocalHealth);
   suspect(probe.member);
 }
 
-// While members fall, the others are looked at more often: of many that die at once the last would else be found late.
-bool Membership::alarmed() const { return now_ < alarmedUntil_; }
+// After a suspicion members are probed more often: of many that fail at once, the last would otherwise be
+// detected late.
+bool Membership::isProbingFast() const { return now_ < probingFastUntil_; }
 
-// Members that are down, or were never heard, are asked now and then whether they are back: a healed cut is found so.
-// Three at a time while we hear of nobody, as after our own start.
+// Pings members that are down or have never been heard from, to find out when a partition has healed. The
+// caller takes kIndirectProbes at a time while no other member is present, as after the start.
 void Membership::probeDownMembers(size_t count) {
-  for (MemberIndex member : drawnDown(count)) {
+  for (MemberIndex member : randomAbsentMembers(count)) {
     Message& ping = addMessage(MessageKind::ping, member);
-    ping.probe = ++probes_;
-    addNews(ping, member);
+    ping.probe = ++lastProbe_;
+    piggybackUpdates(ping, member);
   }
 }
 
-// --- telling
-int Membership::tellingsEach() const { return int(std::ceil(kTellings * std::log2(double(there_) + 1))); }
+// --- Dissemination
+// How often each member that holds an update piggybacks it.
+int Membership::transmissionLimit() const {
+  return int(std::ceil(kTransmissionFactor * std::log2(double(presentMembers_) + 1)));
+}
 
-void Membership::tell(MemberIndex member, int times) {
-  if (at(member).tellings <= 0)
-    told_.push_back(member);
-  at(member).tellings = std::max(at(member).tellings, times);
+void Membership::queueUpdate(MemberIndex member, int times) {
+  if (recordOf(member).transmissionsLeft <= 0)
+    queuedUpdates_.push_back(member);
+  recordOf(member).transmissionsLeft = std::max(recordOf(member).transmissionsLeft, times);
 }
 
-// Who knows the same as we do needs none of our news: the more of those we meet, the less there is to tell. What is
-// suspected stands in no digest, and is told on.
-void Membership::stopGossip() {
-  for (MemberIndex member : told_)
-    if (!at(member).suspicion)
-      --at(member).tellings;
-  std::erase_if(told_, [&](MemberIndex member) { return at(member).tellings <= 0; });
+// Called for a message with the same digest: its sender holds the same statuses, so each queued update needs
+// one transmission less. Suspicions are not part of the digest, and keep theirs.
+void Membership::reduceTransmissions() {
+  for (MemberIndex member : queuedUpdates_)
+    if (!recordOf(member).suspicion)
+      --recordOf(member).transmissionsLeft;
+  std::erase_if(queuedUpdates_, [&](MemberIndex member) { return recordOf(member).transmissionsLeft <= 0; });
 }
 
 void Membership::gossip() {
   if (now_ < healingUntil_)
-    probeDownMembers(kHealTo);
-  if (told_.empty())
+    probeDownMembers(kHealFanout);
+  if (queuedUpdates_.empty())
     return;
-  for (MemberIndex to : drawn(kGossipTo, MemberState::suspect))
-    addNews(addMessage(MessageKind::gossip, to), to);
+  for (MemberIndex to : randomMembers(kGossipFanout, MemberState::suspect))
+    piggybackUpdates(addMessage(MessageKind::gossip, to), to);
 }
 
-// The news told least often goes first; and, before all, what is said of whom this goes to, where it says otherwise of
-// itself: it has to hear that it is suspected, or that its name was carried further by an earlier life.
-void Membership::addNews(Message& message, MemberIndex first) {
-  size_t bytes = kHeadBytes;
+// Adds as many updates as fit into a datagram, those with the fewest transmissions so far first. Before all
+// others comes the status of the receiver if it differs from what the receiver reported of itself: the
+// receiver has to learn that it is suspected, or that an earlier instance of its name has a greater number.
+void Membership::piggybackUpdates(Message& message, MemberIndex receiver) {
+  size_t bytes = kHeaderBytes;
   auto add = [&](MemberIndex member) {
-    Record& record = at(member);
-    bytes += kRowBytes + 2 * settings_.peers[size_t(member)].name.size();
+    Record& record = recordOf(member);
+    bytes += kUpdateBytes + 2 * settings_.peers[size_t(member)].name.size();
     if (bytes > kMaxDatagramBytes)
       return false;
-    MemberUpdate& row = message.updates.emplace_back(MemberUpdate{member, record.status});
+    MemberUpdate& update = message.updates.emplace_back(MemberUpdate{member, record.status});
     if (record.suspicion)
-      row.suspectedBy = record.suspicion->by[record.suspicion->next++ % record.suspicion->by.size()];
+      update.suspectedBy =
+          record.suspicion->confirmedBy[record.suspicion->nextNamed++ % record.suspicion->confirmedBy.size()];
     return true;
   };
-  if (first >= 0 && at(first).status > at(first).said)
-    add(first);
-  size_t most = std::min<size_t>(told_.size(), kMaxDatagramBytes / kRowBytes);
-  std::ranges::partial_sort(told_, told_.begin() + long(most), {},
-                            [&](MemberIndex one) { return std::pair(-at(one).tellings, one); });
-  for (size_t i = 0; i < most; ++i) {
-    if (told_[i] == first && !message.updates.empty())
+  if (receiver >= 0 && recordOf(receiver).status > recordOf(receiver).selfReported)
+    add(receiver);
+  size_t limit = std::min<size_t>(queuedUpdates_.size(), kMaxDatagramBytes / kUpdateBytes);
+  std::ranges::partial_sort(
+      queuedUpdates_, queuedUpdates_.begin() + long(limit), {},
+      [&](MemberIndex member) { return std::pair(-recordOf(member).transmissionsLeft, member); });
+  for (size_t i = 0; i < limit; ++i) {
+    if (queuedUpdates_[i] == receiver && !message.updates.empty())
       continue;
-    if (!add(told_[i]))
+    if (!add(queuedUpdates_[i]))
       break;
-    --at(told_[i]).tellings;
+    --recordOf(queuedUpdates_[i]).transmissionsLeft;
   }
-  std::erase_if(told_, [&](MemberIndex member) { return at(member).tellings <= 0; });
+  std::erase_if(queuedUpdates_, [&](MemberIndex member) { return recordOf(member).transmissionsLeft <= 0; });
 }
 
-std::vector<MemberIndex> Membership::drawn(size_t count, MemberState most, MemberIndex but) {
+// Up to `count` different members at random, without this process and `excluded`, whose state is `worstState`
+// or better.
+std::vector<MemberIndex> Membership::randomMembers(size_t count, MemberState worstState,
+                                                   MemberIndex excluded) {
   std::vector<MemberIndex> picked;
-  for (size_t tries = 0; picked.size() < count && tries < 6 * count; ++tries) {
-    MemberIndex one = MemberIndex(chance_.next() % records_.size());
-    if (one == self_ || one == but || !at(one).status.isKnown() || at(one).status.state > most)
+  for (size_t attempt = 0; picked.size() < count && attempt < 6 * count; ++attempt) {
+    MemberIndex member = MemberIndex(random_.next() % records_.size());
+    if (member == self_ || member == excluded || !recordOf(member).status.isKnown() ||
+        recordOf(member).status.state > worstState)
       continue;
-    if (std::ranges::find(picked, one) == picked.end())
-      picked.push_back(one);
+    if (std::ranges::find(picked, member) == picked.end())
+      picked.push_back(member);
   }
-  if (!picked.empty() || there_ <= 1)
+  if (!picked.empty() || presentMembers_ <= 1)
     return picked;
-  for (size_t i = 0; i < records_.size() && picked.size() < count; ++i)  // few are there: draws seldom hit
-    if (MemberIndex(i) != self_ && MemberIndex(i) != but && records_[i].status.isKnown() &&
-        records_[i].status.state <= most)
+  // Few members are present, and random draws have missed them: take the first ones of the list.
+  for (size_t i = 0; i < records_.size() && picked.size() < count; ++i)
+    if (MemberIndex(i) != self_ && MemberIndex(i) != excluded && records_[i].status.isKnown() &&
+        records_[i].status.state <= worstState)
       picked.push_back(MemberIndex(i));
   return picked;
 }
 
-std::vector<MemberIndex> Membership::drawnDown(size_t count) {
-  std::vector<MemberIndex> down;
-  bool all = there_ <= 1;  // who has left comes back by its own word, unless nobody else is there
+// Up to `count` different members at random that are down or unknown. Members that have left announce their
+// return themselves; they are included only if no other member is present.
+std::vector<MemberIndex> Membership::randomAbsentMembers(size_t count) {
+  std::vector<MemberIndex> absent;
+  bool includeLeft = presentMembers_ <= 1;
   for (size_t i = 0; i < records_.size(); ++i)
     if (MemberIndex(i) != self_ && !records_[i].status.isPresent() &&
-        (all || records_[i].status.state != MemberState::left))
-      down.push_back(MemberIndex(i));
-  for (size_t i = 0; i < count && i < down.size(); ++i)
-    std::swap(down[i], down[i + chance_.next() % (down.size() - i)]);
-  down.resize(std::min(count, down.size()));
-  return down;
+        (includeLeft || records_[i].status.state != MemberState::left))
+      absent.push_back(MemberIndex(i));
+  for (size_t i = 0; i < count && i < absent.size(); ++i)
+    std::swap(absent[i], absent[i + random_.next() % (absent.size() - i)]);
+  absent.resize(std::min(count, absent.size()));
+  return absent;
 }
 
 Message& Membership::addMessage(MessageKind kind, MemberIndex to) {
-  Message& message = out_.emplace_back();
-  message.kind = kind, message.from = self_, message.to = to;
-  message.instance = life_.instance, message.incarnation = life_.incarnation;
-  message.sequence = ++sequence_;
+  Message& message = outgoing_.emplace_back();
+  message.kind = kind;
+  message.from = self_;
+  message.to = to;
+  message.instance = instance_.instance;
+  message.incarnation = instance_.incarnation;
+  message.sequence = ++lastSequence_;
   message.digest = digest();
   return message;
 }
@@ -510,70 +565,80 @@
   tick(now);
   if (demoted_ || std::exchange(leaving_, true))
     return;
-  settle({self_, own()}, self_);
-  for (MemberIndex to : drawn(2 * kAskers, MemberState::suspect))
-    addNews(addMessage(MessageKind::gossip, to), to);
+  apply({self_, ownStatus()}, self_);
+  for (MemberIndex to : randomMembers(2 * kIndirectProbes, MemberState::suspect))
+    piggybackUpdates(addMessage(MessageKind::gossip, to), to);
 }
 
-// --- mending: 64 sums of what is known by bucket; the rows of those that differ go both ways
+// --- Anti-entropy
+// A sync request carries one digest for each of kSyncBuckets buckets of members; the updates of the buckets
+// that differ are then exchanged in both directions.
+
+// The contribution of a member to the digests. Suspicions are left out, because they are short-lived.
 uint64_t Membership::hashOf(MemberIndex member) const {
-  const MemberStatus& status = at(member).status;
+  const MemberStatus& status = recordOf(member).status;
   if (!status.isKnown())
     return 0;
-  MemberState state =
-      status.state == MemberState::suspect ? MemberState::alive : status.state;  // suspicions come and go
-  return mixed(nameHashes_[size_t(member)] ^
-               mixed(status.instance ^ mixed(status.incarnation << 2 | uint64_t(state))));
+  MemberState state = status.state == MemberState::suspect ? MemberState::alive : status.state;
+  return mix(nameHashes_[size_t(member)] ^
+             mix(status.instance ^ mix(status.incarnation << 2 | uint64_t(state))));
 }
 
-size_t Membership::bucketOf(MemberIndex member) const { return nameHashes_[size_t(member)] % kBuckets; }
+size_t Membership::bucketOf(MemberIndex member) const { return nameHashes_[size_t(member)] % kSyncBuckets; }
 
-std::vector<uint64_t> Membership::sums() const {
-  std::vector<uint64_t> sums(kBuckets);
+std::vector<uint64_t> Membership::bucketDigests() const {
+  std::vector<uint64_t> digests(kSyncBuckets);
   for (size_t i = 0; i < records_.size(); ++i)
-    sums[bucketOf(MemberIndex(i))] += hashOf(MemberIndex(i));
-  return sums;
+    digests[bucketOf(MemberIndex(i))] += hashOf(MemberIndex(i));
+  return digests;
 }
 
 void Membership::requestSync(MemberIndex with) {
-  nextCompare_ = now_ + kCompareEach * settings_.probeInterval * chance_.uniformBetween(0.5, 1.5);
-  addMessage(MessageKind::syncRequest, with).bucketDigests = sums();
+  nextSync_ = now_ + kSyncInterval * settings_.probeInterval * random_.uniformBetween(0.5, 1.5);
+  addMessage(MessageKind::syncRequest, with).bucketDigests = bucketDigests();
 }
 
+// Sends the updates of all buckets that differ from the message's digests; in answer to a request also the
+// own digests, so that the other side sends its updates.
 void Membership::answerSync(const Message& message) {
-  if (message.bucketDigests.size() != kBuckets)
-    return;  // of another version: gossip alone mends then
-  auto mine = sums();
+  if (message.bucketDigests.size() != kSyncBuckets)
+    return;  // the sender's version has another number of buckets: only gossip is left
+  auto ownDigests = bucketDigests();
   Message& answer = addMessage(MessageKind::syncResponse, message.from);
   for (size_t i = 0; i < records_.size(); ++i)
     if (records_[i].status.isKnown() &&
-        mine[bucketOf(MemberIndex(i))] != message.bucketDigests[bucketOf(MemberIndex(i))])
+        ownDigests[bucketOf(MemberIndex(i))] != message.bucketDigests[bucketOf(MemberIndex(i))])
       answer.updates.push_back({MemberIndex(i), records_[i].status,
-                                records_[i].suspicion ? records_[i].suspicion->by[0] : kNoMember});
+                                records_[i].suspicion ? records_[i].suspicion->confirmedBy[0] : kNoMember});
   if (message.kind == MessageKind::syncRequest)
-    answer.bucketDigests = std::move(mine);
+    answer.bucketDigests = std::move(ownDigests);
   if (answer.updates.empty() && answer.bucketDigests.empty())
-    out_.pop_back();
+    outgoing_.pop_back();
 }
 
-// --- what is asked of it
+// --- Interface to subsystems and to the control thread
 void Membership::sendPayload(MemberIndex to, std::string bytes) {
   if (!demoted_)
     addMessage(MessageKind::payload, to).payload = std::move(bytes);
 }
 
-std::vector<Message> Membership::takeOutgoing() { return std::exchange(out_, {}); }
+std::vector<Message> Membership::takeOutgoing() { return std::exchange(outgoing_, {}); }
 std::vector<MembershipEvent> Membership::takeEvents() { return std::exchange(events_, {}); }
 
 MembershipSnapshot Membership::snapshot(double now) const {
-  MembershipSnapshot view;
-  view.takenAt = now, view.number = ++views_, view.self = self_, view.demoted = demoted_,
-  view.isolated = alone_;
-  view.promisesAllowedFrom = promisesFrom_, view.presentMembers = there_, view.digest = digest();
+  MembershipSnapshot snapshot;
+  snapshot.takenAt = now;
+  snapshot.number = ++snapshots_;
+  snapshot.self = self_;
+  snapshot.demoted = demoted_;
+  snapshot.isolated = isolated_;
+  snapshot.promisesAllowedFrom = promisesAllowedFrom_;
+  snapshot.presentMembers = presentMembers_;
+  snapshot.digest = digest();
   for (auto& record : records_)
-    view.members.push_back({record.status, record.heardAt});
-  view.errorCounts = errorCounts_;
-  return view;
+    snapshot.members.push_back({record.status, record.lastHeardAt});
+  snapshot.errorCounts = errorCounts_;
+  return snapshot;
 }
 
 }  // namespace elmcleat::members
--- a/src/members/membership.h
+++ b/src/members/membership.h
@@ -1,12 +1,16 @@
-// The membership of one process: SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips,
-// Currey 2018) and an exchange by buckets that mends what gossip lost. Pure: told the time and what came, it says
-// what to send and when it wants to be woken. Seeded; reads no clock, holds no socket. Times are seconds of one clock
-// that goes on while the process is stopped.
+// The membership protocol of one process: SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard
+// (Dadgar, Phillips, Currey 2018), and anti-entropy by bucket digests, which repairs what gossip has lost.
+// Membership owns the status of every member, the failure detector, and the messages to be sent. It is a
+// deterministic state machine: it receives the time and the messages, and returns the messages to send and
+// the time of its next wake-up. All random choices come from the seed; it reads no clock and owns no socket.
+// Times are seconds of one clock that goes on while the process is stopped.
 //
-// Probes: each period one member, in a shuffled round, is pinged; without an answer a few others are asked to; without
-// any it is suspected. A suspicion ends in `down` after a time that shrinks as others suspect the same (from
-// maxSuspicionTime to minSuspicionTime), or at once by a greater incarnation from the member itself. Whoever finds its own
-// probes failing without cause waits longer (`localHealth_`): a slow process must not declare the quick ones down.
+// Failure detection: in each probe interval one member, in a shuffled round, is pinged. If it does not answer
+// in time, a few other members are asked to ping it (ping-req). If none of these pings is answered, the
+// member is suspected. A suspicion ends in `down` after a time that shrinks from maxSuspicionTime to
+// minSuspicionTime as other members confirm it, or at once when the member itself refutes it by a greater
+// incarnation. A process whose own probes fail for no apparent reason waits longer (`localHealth_`), so that
+// a slow process does not declare healthy members down.
 #pragma once
 #include <cmath>
 #include <cstdint>
@@ -23,138 +27,166 @@
 
 namespace elmcleat::members {
 
-struct ProcessInstance {     // one life of a process
-  uint64_t instance = 1;     // greater in each later life, as far as its clock tells
-  uint64_t incarnation = 1;  // where it starts; it grows by refutations
+// One run of a process.
+struct ProcessInstance {
+  uint64_t instance = 1;     // greater in each later run, as long as the clock of the machine is not set back
+  uint64_t incarnation = 1;  // initial value; each refutation raises it
 };
 
-// What happened that an operator may want to read, in the order of happening.
+// A change of a member's state, or an error, for the operator's log.
 struct MembershipEvent {
   MemberIndex member = kNoMember;
   MemberState state = MemberState::alive;
-  std::optional<ErrorKind> error;  // instead of a state
+  std::optional<ErrorKind> error;  // if set, `state` does not count
   std::string reason;
 };
 
 class Membership {
  public:
-  // Bytes that a message may have as a datagram; what needs more goes by a stream.
+  // Largest size of a message that is sent as a datagram, in bytes; larger messages are sent over a stream.
   static constexpr size_t kMaxDatagramBytes = 1200;
 
-  Membership(const MembershipSettings& settings, MemberIndex self, const ProcessInstance& life, uint64_t seed,
-             double now);
+  // `instance` is greater than that of each earlier run of this process, as far as the clock allows.
+  Membership(const MembershipSettings& settings, MemberIndex self, const ProcessInstance& instance,
+             uint64_t seed, double now);
 
-  void tick(double now);  // does what is due; also after any receive()
+  // Does all that is due at `now`. To be called after receive() too.
+  void tick(double now);
   void receive(double now, const Message& message);
-  void countError(ErrorKind kind) {
-    ++errorCounts_[static_cast<size_t>(kind)];
-  }                           // what the shell could not even pass on
-  void leave(double now);     // tells some that this process ends
-  double nextWakeUp() const;  // when tick() has something to do
-
-  // For subsystems above: bytes to a member, and what came from members that were heard as they should be.
+  // Counts an error that the transport found in a message that it could not deliver.
+  void countError(ErrorKind kind) { ++errorCounts_[static_cast<size_t>(kind)]; }
+  // Announces to some members that this process ends.
+  void leave(double now);
+  // The time at which tick() has to be called at the latest.
+  double nextWakeUp() const;
+
+  // For subsystems on top of membership: sends bytes to a member, and takes the payloads that have been
+  // received. Payloads of invalid or replayed messages are not among them.
   void sendPayload(MemberIndex to, std::string bytes);
   std::vector<Payload> takePayloads() { return std::exchange(payloads_, {}); }
 
-  std::vector<Message> takeOutgoing();        // what is to be sent since the last call
-  std::vector<MembershipEvent> takeEvents();  // since the last call
+  // The messages to be sent and the events, each since the last call, in order.
+  std::vector<Message> takeOutgoing();
+  std::vector<MembershipEvent> takeEvents();
   MembershipSnapshot snapshot(double now) const;
 
-  // For a checker: what it holds of each member.
   const MemberStatus& statusOf(MemberIndex member) const {
     return records_[static_cast<size_t>(member)].status;
   }
-  const ProcessInstance& instance() const { return life_; }
+  const ProcessInstance& instance() const { return instance_; }
+  // Whether this process has yielded to another one with the same name. It sends nothing from then on.
   bool isDemoted() const { return demoted_; }
 
  private:
   struct Suspicion {
     double since = 0;
-    std::vector<MemberIndex> by;  // who has found it, each once
-    size_t next = 0;              // of them, who is named at the next telling
+    std::vector<MemberIndex> confirmedBy;  // members that detected the failure themselves, without duplicates
+    size_t nextNamed = 0;                  // index of the one that the next update names
   };
   struct Record {
-    MemberStatus status, said;  // what is known of it; what it said of itself last
-    double heardAt = -1, correctedAt = -HUGE_VAL;
+    MemberStatus status;        // merged from all updates
+    MemberStatus selfReported;  // from the member's own last message
+    double lastHeardAt = -1;
+    double correctedAt =
+        -HUGE_VAL;  // when the member was last sent the status that its restart has to exceed
     std::optional<Suspicion> suspicion;
-    int tellings = 0;  // how often its news is still to be told
-    uint64_t heardInstance = 0, top = 0,
-             window = 0;  // sequences heard of that life: the greatest, and 64 below
+    int transmissionsLeft = 0;  // how often its update is still to be piggybacked
+    // Sliding window against replays, for one instance of the sender.
+    uint64_t windowInstance = 0;
+    uint64_t highestSequence = 0;
+    uint64_t receivedWindow = 0;  // bit i: highestSequence - i has been received
   };
   struct Probe {
     uint64_t number = 0;
     MemberIndex member = kNoMember;
-    double askAt = 0, endsAt = 0;
-    bool asked = false;
-    int helpers = 0, nacksDue = 0;
+    double indirectAt = 0;  // when ping-reqs are sent if no ack has arrived
+    double endsAt = 0;
+    bool indirectSent = false;
+    int relays = 0;        // members that were sent a ping-req
+    int missingNacks = 0;  // of these, the ones that have not sent a nack
   };
-  struct RelayedProbe {  // a ping for another
+  // A probe on behalf of another member, after its ping-req.
+  struct RelayedProbe {
     uint64_t number = 0;
-    MemberIndex asker = kNoMember;
-    uint64_t askersNumber = 0;
-    double nackAt = 0, endsAt = 0;
-    bool nacked = false;
+    MemberIndex requester = kNoMember;
+    uint64_t requesterProbe = 0;  // the probe number of the ping-req
+    double nackAt = 0;
+    double endsAt = 0;
+    bool nackSent = false;
   };
 
-  Record& at(MemberIndex member) { return records_[static_cast<size_t>(member)]; }
-  const Record& at(MemberIndex member) const { return records_[static_cast<size_t>(member)]; }
-  MemberStatus own() const {
-    return {life_.instance, life_.incarnation, leaving_ ? MemberState::left : MemberState::alive};
+  Record& recordOf(MemberIndex member) { return records_[static_cast<size_t>(member)]; }
+  const Record& recordOf(MemberIndex member) const { return records_[static_cast<size_t>(member)]; }
+  MemberStatus ownStatus() const {
+    return {instance_.instance, instance_.incarnation, leaving_ ? MemberState::left : MemberState::alive};
   }
 
-  bool fresh(const Message& message);
-  void merge(const MemberUpdate& row, MemberIndex teller);
-  void settle(const MemberUpdate& row, MemberIndex teller);
-  void contest(const MemberStatus& status);
+  bool acceptSequence(const Message& message);
+  void merge(const MemberUpdate& update, MemberIndex source);
+  void apply(const MemberUpdate& update, MemberIndex source);
+  void resolveNameConflict(const MemberStatus& status);
   void confirmSuspicion(Record& record, MemberIndex by);
   void suspect(MemberIndex member);
-  double suspectedUntil(const Record& record) const;
-  void noticeStall(double now);
+  double suspicionEndsAt(const Record& record) const;
+  void detectStall(double now);
 
   void probe();
-  void failed(const Probe& probe);
-  bool alarmed() const;
+  void probeFailed(const Probe& probe);
+  bool isProbingFast() const;
   void probeDownMembers(size_t count);
   void gossip();
-  void stopGossip();
+  void reduceTransmissions();
   void requestSync(MemberIndex with);
   void answerSync(const Message& message);
 
-  std::vector<MemberIndex> drawn(size_t count, MemberState most, MemberIndex but = kNoMember);
-  std::vector<MemberIndex> drawnDown(size_t count);
+  std::vector<MemberIndex> randomMembers(size_t count, MemberState worstState,
+                                         MemberIndex excluded = kNoMember);
+  std::vector<MemberIndex> randomAbsentMembers(size_t count);
   Message& addMessage(MessageKind kind, MemberIndex to);
-  void addNews(Message& message, MemberIndex first = kNoMember);
-  void tell(MemberIndex member, int times);
-  int tellingsEach() const;
+  void piggybackUpdates(Message& message, MemberIndex receiver = kNoMember);
+  void queueUpdate(MemberIndex member, int transmissions);
+  int transmissionLimit() const;
   uint64_t digest() const { return digest_; }
-  std::vector<uint64_t> sums() const;
+  std::vector<uint64_t> bucketDigests() const;
   uint64_t hashOf(MemberIndex member) const;
   size_t bucketOf(MemberIndex member) const;
 
   MembershipSettings settings_;
   MemberIndex self_;
-  ProcessInstance life_;
-  Pcg32 chance_;
-  double now_ = 0, startedAt_ = 0;
+  ProcessInstance instance_;
+  Pcg32 random_;
+  double now_ = 0;
+  double startedAt_ = 0;
   std::vector<Record> records_;
   std::vector<uint64_t> nameHashes_;
-  std::vector<MemberIndex> told_;  // members with news to tell
+  std::vector<MemberIndex> queuedUpdates_;  // members whose updates are still to be piggybacked
   std::vector<MemberIndex> suspected_;
-  std::vector<MemberIndex> round_;  // whom to probe, this round
-  std::vector<Message> out_;
+  std::vector<MemberIndex> probeRound_;  // members still to be probed in this round, from the back
+  std::vector<Message> outgoing_;
   std::vector<MembershipEvent> events_;
   std::vector<Payload> payloads_;
-  std::vector<Probe> probing_;
+  std::vector<Probe> probes_;
   std::deque<RelayedProbe> relayedProbes_;
   ErrorCounts errorCounts_{};
-  uint64_t sequence_ = 0, probes_ = 0, digest_ = 0, changes_ = 0;
-  mutable uint64_t views_ = 0;
-  size_t there_ = 0;
-  int localHealth_ = 0;  // 0: our own probes work as they should
-  double nextProbe_ = 0, nextReach_ = 0, nextGossip_ = 0, nextCompare_ = 0, heardAt_ = 0, promisesFrom_ = 0;
-  double healingUntil_ = -1, alarmedUntil_ = -1;
-  double contestedAt_ = -1;  // our name was claimed by another life
-  bool demoted_ = false, leaving_ = false, alone_ = false;
+  uint64_t lastSequence_ = 0;
+  uint64_t lastProbe_ = 0;  // number of the last probe, own or relayed
+  uint64_t digest_ = 0;     // sum of hashOf() of all members
+  uint64_t changes_ = 0;    // updates applied so far
+  mutable uint64_t snapshots_ = 0;
+  size_t presentMembers_ = 0;
+  int localHealth_ = 0;  // Lifeguard's local health multiplier; 0: the own probes work as expected
+  double nextProbe_ = 0;
+  double nextDownProbe_ = 0;
+  double nextGossip_ = 0;
+  double nextSync_ = 0;
+  double lastHeardAt_ = 0;  // time of the last message from any member
+  double promisesAllowedFrom_ = 0;
+  double healingUntil_ = -1;
+  double probingFastUntil_ = -1;
+  double nameConflictAt_ = -1;  // when this process last outbid another instance of its name; negative: never
+  bool demoted_ = false;
+  bool leaving_ = false;
+  bool isolated_ = false;
 };
 
 }  // namespace elmcleat::members
--- a/src/members/membership_settings.cpp
+++ b/src/members/membership_settings.cpp
@@ -6,17 +6,19 @@
 
 std::vector<ValidationError> validate(const MembershipSettings& settings) {
   std::vector<ValidationError> errors;
-  std::map<std::string, size_t> names, places;
+  // Index of the first peer with each name and with each address.
+  std::map<std::string, size_t> names;
+  std::map<std::string, size_t> addresses;
   for (size_t i = 0; i < settings.peers.size(); ++i) {
-    auto& [name, at] = settings.peers[i];
+    auto& [name, address] = settings.peers[i];
     std::string key = "peers[" + std::to_string(i) + "]";
-    if (auto [known, fresh] = names.emplace(name, i); !fresh)
+    if (auto [known, isNew] = names.emplace(name, i); !isNew)
       errors.push_back({key + ".name", "'" + name + "' is there already, as peers[" +
                                            std::to_string(known->second) + "]; each name is one process"});
-    if (at.port == 0)
-      continue;  // told already, as no address
-    if (auto [known, fresh] = places.emplace(textOf(at), i); !fresh)
-      errors.push_back({key + ".at", textOf(at) + " is that of peers[" + std::to_string(known->second) +
+    if (address.port == 0)
+      continue;  // an invalid address, reported when the configuration is read
+    if (auto [known, isNew] = addresses.emplace(textOf(address), i); !isNew)
+      errors.push_back({key + ".at", textOf(address) + " is that of peers[" + std::to_string(known->second) +
                                          "]; each process needs an address of its own"});
   }
   if (settings.maxSuspicionTime < settings.minSuspicionTime)
--- a/src/members/membership_settings.h
+++ b/src/members/membership_settings.h
@@ -1,5 +1,5 @@
-// Who belongs to the fleet, as somebody has set it: every process by its name and the address at which the others
-// reach it. Who of them is there now is the core's matter (membership.h). No I/O.
+// The configured membership of the fleet: every process with its name and address, and the timing of the
+// failure detector. Which of the processes are alive is decided at run time (membership.h). No I/O.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,23 +9,26 @@
 namespace elmcleat::members {
 
 struct Peer {
-  std::string name;  // the configuration's, the same after a restart
-  Address address;   // UDP and TCP; for oneself: where to listen
+  std::string name;  // from the configuration; does not change with a restart
+  Address address;   // for UDP and TCP; the process itself listens on its own one
 };
 
 struct MembershipSettings {
-  std::string fleet;  // what comes under another fleet's name is not heard
+  std::string fleet;  // messages with another fleet name are dropped
   std::vector<Peer> peers;
-  double probeInterval = 0.5;   // seconds from one probe to the next
-  double minSuspicionTime = 1;  // seconds of suspicion before a member counts as down, when many suspect it;
-  double maxSuspicionTime = 3;  // and when one alone does
-  double maxPromiseDuration = 10;  // seconds for which anything promised to another may hold
+  double probeInterval = 0.5;   // seconds between two probes
+  double minSuspicionTime = 1;  // seconds from suspect to down, when many members confirm the suspicion
+  double maxSuspicionTime = 3;  // seconds from suspect to down, when no other member confirms it
+  double maxPromiseDuration =
+      10;  // seconds; upper bound of the validity of any promise made to another member
 };
 
 struct ValidationError {
-  std::string key, message;  // the key's path below the section; what was found and what is allowed
+  std::string key;      // path of the key, relative to the section
+  std::string message;  // the value found, and what is allowed
 };
-// All that no schema can say. Empty: sound.
+// Checks what the schema cannot express: unique names and addresses, and the order of the durations. An empty
+// result means that the settings are valid.
 std::vector<ValidationError> validate(const MembershipSettings& settings);
 
 }  // namespace elmcleat::members
--- a/src/members/message_codec.h
+++ b/src/members/message_codec.h
@@ -1,5 +1,6 @@
-// Messages as bytes: 8 bytes of XXH3 over all that follows, then protobuf (wire.proto). Members are names there.
-// No I/O. All sizes are bounded; what can't be read is told by its kind of fault and nothing of it is used.
+// Encoding of membership messages: an XXH3 checksum of 8 bytes over all that follows, then a protobuf
+// Envelope (wire.proto), in which members are identified by name. No I/O. All sizes are bounded. A message
+// that cannot be decoded is reported by its ErrorKind, and no part of it is used.
 #pragma once
 #include <optional>
 #include <string>
@@ -13,26 +14,27 @@
 
 namespace elmcleat::members {
 
-constexpr uint32_t kProtocolVersion = 1;         // of what this program writes and reads
-constexpr size_t kMaxMessageBytes = 256 * 1024;  // of a message
-constexpr size_t kMaxNameBytes = 64;             // of a member's, or the fleet's
+constexpr uint32_t kProtocolVersion = 1;         // that this program writes and reads
+constexpr size_t kMaxMessageBytes = 256 * 1024;  // of an encoded message
+constexpr size_t kMaxNameBytes = 64;             // of the name of a member or of the fleet
 
-// Of what follows the first 8 bytes, which hold it with the least byte first.
+// XXH3-64 of the bytes after the checksum. On the wire the checksum is little-endian.
 uint64_t checksum(std::string_view bytes);
 
 class MessageCodec {
  public:
   explicit MessageCodec(const MembershipSettings& settings);
   std::string encode(const Message& message) const;
-  // The message; or what is wrong with the bytes. Rows of members that are not listed here are left out.
+  // Returns the message, or the error in the bytes. Updates about members that are not listed here are left
+  // out.
   std::variant<Message, ErrorKind> decode(std::string_view bytes) const;
 
  private:
-  MemberIndex find(const std::string& name) const;
+  MemberIndex indexOf(const std::string& name) const;
   const std::string& nameOf(MemberIndex member) const;
   std::string fleet_;
-  std::vector<std::string> names_;
-  std::unordered_map<std::string, MemberIndex> places_;
+  std::vector<std::string> names_;  // by MemberIndex
+  std::unordered_map<std::string, MemberIndex> indices_;
 };
 
 }  // namespace elmcleat::members
--- a/src/members/transport.cpp
+++ b/src/members/transport.cpp
@@ -95,7 +95,8 @@
       receive({bytes, size_t(got)}, ntohl(from.sin_addr.s_addr), ntohs(from.sin_port));
     else if (errno == EAGAIN)
       datagrams_->readAll();
-    // Any other fault is what became of a datagram of ours (nobody listens there), and taken off the socket by this.
+    // Any other fault is what became of a datagram of ours (nobody listens there), and taken off the socket
+    // by this.
   }
 }
 
--- a/src/members/transport.h
+++ b/src/members/transport.h
@@ -1,5 +1,5 @@
-// The core on sockets: datagrams, and a stream for a message that is too large for one. It decides nothing: the core
-// says what is sent, MessageCodec how it reads; what can't be passed on is counted by its kind.
+// The core on sockets: datagrams, and a stream for a message that is too large for one. It decides nothing:
+// the core says what is sent, MessageCodec how it reads; what can't be passed on is counted by its kind.
 #pragma once
 #include <exception>
 #include <functional>
@@ -19,7 +19,8 @@
   // Binds at once: Error where the address is taken.
   Transport(Scheduler& scheduler, const MembershipSettings& settings, MemberIndex self,
             Membership& membership);
-  // `turned` is called after each turn, with the core up to date, and says when it wants the next at the latest.
+  // `turned` is called after each turn, with the core up to date, and says when it wants the next at the
+  // latest.
   void start(std::function<double()> turned);
   void send();                                           // what the core has to say
   std::exception_ptr failure() const { return fault_; }  // what ended it
