--- a/src/control/control_thread.cpp
+++ b/src/control/control_thread.cpp
@@ -18,12 +18,13 @@
 namespace elmcleat {
 namespace {
 
-constexpr double kTellEach = 0.1;   // seconds from one view to the next, if nothing happens
-constexpr double kHeedEach = 0.01;  // seconds until letters that wait for traffic are looked at again
-constexpr double kStaleAfter = 2;   // age of a view beyond which traffic goes on without what is shared
-constexpr double kStopTime = 1;     // seconds that the thread is given to end
+constexpr double kSnapshotInterval = 0.1;  // seconds between two snapshots without events
+constexpr double kAckPollInterval = 0.01;  // seconds, while lease messages wait for an acknowledgment
+constexpr double kMaxSnapshotAge = 2;      // seconds; traffic does not use the membership of older ones
+constexpr double kStopTimeout = 1;         // seconds for the thread to end
 
-members::MemberIndex placeOf(const members::MembershipSettings& settings, const std::string& name) {
+// The index of this process in the list of peers.
+members::MemberIndex indexOf(const members::MembershipSettings& settings, const std::string& name) {
   for (size_t i = 0; i < settings.peers.size(); ++i)
     if (settings.peers[i].name == name)
       return members::MemberIndex(i);
@@ -31,23 +32,25 @@
                        "the list in the gateway file's members.peers does not name it", "'" + name + "'");
 }
 
-// Greater in each later life while the machine's clock goes forward; the core sees to it where it does not.
-members::ProcessInstance newLife() {
-  auto unix = std::chrono::system_clock::now().time_since_epoch();
-  auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(unix).count();
+// Unix time in milliseconds: greater in each later run as long as the clock is not set back. Membership
+// handles the case that it was.
+members::ProcessInstance newInstance() {
+  auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
+  auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count();
   return {uint64_t(std::max<int64_t>(ms, 1)), 1};
 }
 
 }  // namespace
 
+// What the control thread owns.
 struct ControlThread::State {
-  State(const Clock& clock, const members::MembershipSettings& given, members::MemberIndex its, uint64_t seed,
-        const std::optional<QuotaSharing>& sharing)
-      : settings(given),
-        self(its),
-        life(newLife()),
+  State(const Clock& clock, const members::MembershipSettings& membershipSettings,
+        members::MemberIndex ownIndex, uint64_t seed, const std::optional<QuotaSharing>& sharing)
+      : settings(membershipSettings),
+        self(ownIndex),
+        instance(newInstance()),
         scheduler(clock),
-        membership(settings, self, life, seed, clock.now()),
+        membership(settings, self, instance, seed, clock.now()),
         transport(scheduler, settings, self, membership),
         signal(scheduler) {
     if (!sharing)
@@ -57,22 +60,23 @@
       names.push_back(rate.name());
     codec = std::make_unique<shared::LeaseCodec>(names, sharing->settings.quotas);
     leases =
-        std::make_unique<shared::LeaseManager>(sharing->settings, self, life.instance, seed, clock.now());
+        std::make_unique<shared::LeaseManager>(sharing->settings, self, instance.instance, seed, clock.now());
   }
 
   members::MembershipSettings settings;
   members::MemberIndex self;
-  members::ProcessInstance life;
+  members::ProcessInstance instance;
   Scheduler scheduler;
   members::Membership membership;
   members::Transport transport;
-  Signal signal;  // stop() may have been called
-  double toldAt = -1;
-  uint64_t told = 0;  // the number of the last view
+  Signal signal;  // raised when stop() has been called
+  double publishedAt = -1;
+  uint64_t publishedNumber = 0;  // of the last snapshot
   std::unique_ptr<shared::LeaseCodec> codec;
-  std::unique_ptr<shared::LeaseManager> leases;  // none: nothing is shared
-  // Letters that rest on what traffic has to heed first, with the view that tells it so.
-  std::deque<std::pair<uint64_t, shared::LeaseMessage>> waiting;
+  std::unique_ptr<shared::LeaseManager> leases;  // null if no quotas are shared
+  // Lease messages to be sent, each with the number of the snapshot published before it. Grants and returns
+  // wait for traffic to acknowledge that snapshot.
+  std::deque<std::pair<uint64_t, shared::LeaseMessage>> unacknowledged;
 };
 
 ControlThread::ControlThread(const Clock& clock, const members::MembershipSettings& settings,
@@ -80,140 +84,144 @@
                              const std::optional<QuotaSharing>& sharing)
     : clock_(clock),
       startedAt_(clock.now()),
-      state_(std::make_unique<State>(clock, settings, placeOf(settings, name), seed, sharing)) {
-  wake_ = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  publishSnapshot(*state_, clock.now());  // there is something to go by from the first command on
+      state_(std::make_unique<State>(clock, settings, indexOf(settings, name), seed, sharing)) {
+  stopEvent_ = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+  publishSnapshot(*state_, clock.now());  // so that there is one from the first command on
   info() << "members: fleet '" << settings.fleet << "', " << settings.peers.size() << " listed; listens on "
          << textOf(settings.peers[size_t(state_->self)].address);
   thread_ = std::thread([this] { run(); });
-  pthread_setname_np(thread_.native_handle(), "control");  // by us: it has its name once we are made
+  // Named by this thread, so that the name is set when the constructor returns.
+  pthread_setname_np(thread_.native_handle(), "control");
 }
 
 ControlThread::~ControlThread() {
   if (thread_.joinable() && !stop())
-    std::_Exit(EXIT_FAILURE);  // it hangs, and works on what goes with us
+    std::_Exit(EXIT_FAILURE);  // the thread still uses the members that are about to be destroyed
 }
 
-// --- the control thread
-Task ControlThread::leave(State& inside, const Descriptor& wake) {
-  for (uint64_t told; ::read(wake.fd(), &told, sizeof told) != sizeof told;)
-    co_await inside.signal;
-  inside.membership.leave(inside.scheduler.now());
-  inside.transport.send();
-  inside.scheduler.stop();
+// --- Control thread
+// Waits for stop(), announces the departure to the other members, and ends the scheduler.
+Task ControlThread::awaitStop(State& state, const Descriptor& stopEvent) {
+  for (uint64_t count; ::read(stopEvent.fd(), &count, sizeof count) != sizeof count;)
+    co_await state.signal;
+  state.membership.leave(state.scheduler.now());
+  state.transport.send();
+  state.scheduler.stop();
 }
 
-void ControlThread::publishSnapshot(State& inside, double now) {
-  auto told = std::make_unique<ControlSnapshot>();
-  told->members = inside.membership.snapshot(now);
-  for (size_t i = 0; inside.leases && i < inside.leases->quotaCount(); ++i)
-    told->quotas.push_back(inside.leases->availableQuota(i, now));
-  inside.toldAt = now, inside.told = told->members.number;
-  snapshot_.put(std::move(told));
+void ControlThread::publishSnapshot(State& state, double now) {
+  auto snapshot = std::make_unique<ControlSnapshot>();
+  snapshot->members = state.membership.snapshot(now);
+  for (size_t i = 0; state.leases && i < state.leases->quotaCount(); ++i)
+    snapshot->quotas.push_back(state.leases->availableQuota(i, now));
+  state.publishedAt = now;
+  state.publishedNumber = snapshot->members.number;
+  snapshot_.put(std::move(snapshot));
 }
 
-// A grant is a promise not to use what is granted, a return one not to use what was borrowed: neither goes out before
-// traffic has said that it heeds the view with it. So what all use never adds up to more, not even for the moment until
-// traffic looks; while it hangs nothing is lent.
-void ControlThread::exchangeLeases(State& inside, double now) {
-  auto& loans = inside.leases;
-  auto& membership = inside.membership;
-  if (const auto* wants = demand_.get())
-    for (size_t i = 0; i < wants->size() && i < loans->quotaCount(); ++i)
-      loans->setDemand(i, (*wants)[i]);
-  for (size_t i = 0; i < inside.settings.peers.size(); ++i)
-    loans->setMemberAlive(int(i),
-                          membership.statusOf(members::MemberIndex(i)).state == members::MemberState::alive);
+// A grant promises not to use what is granted, and a return not to use what was borrowed. Neither is sent
+// before traffic has acknowledged the snapshot that reflects it. So the sum of what all processes use never
+// exceeds the quota, not even until traffic reads the snapshot; while traffic stalls, nothing is granted.
+void ControlThread::exchangeLeases(State& state, double now) {
+  auto& leases = state.leases;
+  auto& membership = state.membership;
+  if (const auto* demand = demand_.get())
+    for (size_t i = 0; i < demand->size() && i < leases->quotaCount(); ++i)
+      leases->setDemand(i, (*demand)[i]);
+  for (size_t i = 0; i < state.settings.peers.size(); ++i)
+    leases->setMemberAlive(int(i),
+                           membership.statusOf(members::MemberIndex(i)).state == members::MemberState::alive);
   for (auto& payload : membership.takePayloads()) {
-    auto message = inside.codec->decode(payload.bytes, payload.from, inside.self);
+    auto message = state.codec->decode(payload.bytes, payload.from, state.self);
     if (message)
-      loans->receive(now, *message);
+      leases->receive(now, *message);
     else
       membership.countError(members::ErrorKind::undecodable);
   }
-  loans->tick(now);
-  auto messages = loans->takeOutgoing();
+  leases->tick(now);
+  auto messages = leases->takeOutgoing();
   if (!messages.empty())
-    publishSnapshot(inside, now);
+    publishSnapshot(state, now);
   for (auto& message : messages)
-    inside.waiting.emplace_back(inside.told, std::move(message));
-  uint64_t heeded = acknowledged_.load(std::memory_order_acquire);
-  std::erase_if(inside.waiting, [&](auto& one) {
-    auto& [number, message] = one;
-    if (message.kind != shared::LeaseMessage::Kind::request && number > heeded)
+    state.unacknowledged.emplace_back(state.publishedNumber, std::move(message));
+  uint64_t acknowledged = acknowledged_.load(std::memory_order_acquire);
+  std::erase_if(state.unacknowledged, [&](auto& entry) {
+    auto& [number, message] = entry;
+    if (message.kind != shared::LeaseMessage::Kind::request && number > acknowledged)
       return false;
-    membership.sendPayload(message.to, inside.codec->encode(message));
+    membership.sendPayload(message.to, state.codec->encode(message));
     return true;
   });
 }
 
 void ControlThread::run() {
   try {
-    State& inside = *state_;
-    Descriptor wake(inside.scheduler, ::dup(wake_), inside.signal);
-    Task leaving = leave(inside, wake);
-    leaving.start();
-    inside.transport.start([this, &inside] {
-      double now = inside.scheduler.now();
-      auto happened = inside.membership.takeEvents();
-      for (auto& event : happened) {
-        const std::string& who = inside.settings.peers[size_t(event.member)].name;
+    State& state = *state_;
+    Descriptor stopEvent(state.scheduler, ::dup(stopEvent_), state.signal);
+    Task stopping = awaitStop(state, stopEvent);
+    stopping.start();
+    state.transport.start([this, &state] {
+      double now = state.scheduler.now();
+      auto events = state.membership.takeEvents();
+      for (auto& event : events) {
+        const std::string& name = state.settings.peers[size_t(event.member)].name;
         if (event.error)
-          error() << members::describe(*event.error, event.reason, who);
+          error() << members::describe(*event.error, event.reason, name);
         else
-          info().with("member", who) << "members: " << who << " is " << members::nameOf(event.state) << ", "
-                                     << event.reason;
+          info().with("member", name)
+              << "members: " << name << " is " << members::nameOf(event.state) << ", " << event.reason;
       }
-      if (!happened.empty() || now >= inside.toldAt + kTellEach)
-        publishSnapshot(inside, now);
-      if (!inside.leases)
+      if (!events.empty() || now >= state.publishedAt + kSnapshotInterval)
+        publishSnapshot(state, now);
+      if (!state.leases)
         return HUGE_VAL;
-      exchangeLeases(inside, now);
-      inside.transport.send();
-      // While letters wait for traffic, soon again: it looks every few milliseconds.
-      return inside.waiting.empty() ? inside.leases->nextWakeUp() : now + kHeedEach;
+      exchangeLeases(state, now);
+      state.transport.send();
+      // While messages wait for an acknowledgment, poll for it: traffic reads snapshots every few
+      // milliseconds.
+      return state.unacknowledged.empty() ? state.leases->nextWakeUp() : now + kAckPollInterval;
     });
-    inside.scheduler.run();
-    if (auto fault = inside.transport.failure())
-      std::rethrow_exception(fault);
-  } catch (const std::exception& fault) {
-    error() << members::describe(members::ErrorKind::controlThreadFailed, fault.what(), "control thread");
+    state.scheduler.run();
+    if (auto failure = state.transport.failure())
+      std::rethrow_exception(failure);
+  } catch (const std::exception& exception) {
+    error() << members::describe(members::ErrorKind::controlThreadFailed, exception.what(), "control thread");
   }
   ended_ = true;
 }
 
-// --- traffic
+// --- Traffic thread
 const ControlSnapshot* ControlThread::latest(double now) {
-  const ControlSnapshot* told = snapshot_.get();
-  double age = now - (told ? told->members.takenAt : startedAt_);
-  bool stale = age > kStaleAfter;
+  const ControlSnapshot* snapshot = snapshot_.get();
+  double age = now - (snapshot ? snapshot->members.takenAt : startedAt_);
+  bool stale = age > kMaxSnapshotAge;
   if (stale && !stalled_)
     warn() << members::describe(members::ErrorKind::controlThreadStalled,
                                 "nothing told for " + std::to_string(age) + " s", "control thread");
   if (!stale && stalled_)
     info() << "members: the control thread tells again";
   stalled_ = stale;
-  return stale ? nullptr : told;
+  return stale ? nullptr : snapshot;
 }
 
 void ControlThread::watch(Scheduler& traffic) {
-  watch_ = std::make_unique<Timer>(traffic, [this] {
+  watchdog_ = std::make_unique<Timer>(traffic, [this] {
     latest(clock_.now());
-    watch_->set(clock_.now() + kStaleAfter / 4);
+    watchdog_->set(clock_.now() + kMaxSnapshotAge / 4);
   });
-  watch_->set(clock_.now());
+  watchdog_->set(clock_.now());
 }
 
 bool ControlThread::stop() {
-  uint64_t one = 1;
-  (void)!::write(wake_, &one, sizeof one);
-  for (double end = clock_.now() + kStopTime; !ended_;) {
-    if (clock_.now() >= end)
+  uint64_t increment = 1;
+  (void)!::write(stopEvent_, &increment, sizeof increment);
+  for (double deadline = clock_.now() + kStopTimeout; !ended_;) {
+    if (clock_.now() >= deadline)
       return false;
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
   thread_.join();
-  ::close(wake_);
+  ::close(stopEvent_);
   return true;
 }
 
--- a/src/members/message_codec.cpp
+++ b/src/members/message_codec.cpp
@@ -43,8 +43,8 @@
 }
 
 const std::string& MessageCodec::nameOf(MemberIndex member) const {
-  static const std::string none;
-  return member < 0 ? none : names_[size_t(member)];
+  static const std::string kNone;
+  return member < 0 ? kNone : names_[size_t(member)];
 }
 
 std::string MessageCodec::encode(const Message& message) const {
--- a/src/members/transport.cpp
+++ b/src/members/transport.cpp
@@ -13,23 +13,23 @@
 namespace elmcleat::members {
 namespace {
 
-constexpr size_t kMostLinks =
-    32;  // streams at once, ours and theirs; beyond them one is left for the next time
-constexpr double kLinkTime = 2;    // seconds that a stream may take
-constexpr double kTellAgain = 10;  // seconds between two log lines of one kind of fault
-constexpr size_t kMostRead = 256;  // datagrams read before others get their turn
-constexpr size_t kLargest = 64 * 1024;
-
-int bound(const Address& address) {
+constexpr size_t kMaxStreams = 32;            // at the same time, outgoing and incoming
+constexpr double kStreamTimeout = 2;          // seconds for the whole of a stream
+constexpr double kLogInterval = 10;           // seconds between two log lines about the same kind of error
+constexpr size_t kMaxDatagramsPerTurn = 256;  // read before the other work of the turn
+constexpr size_t kReceiveBufferBytes = 64 * 1024;
+
+// Returns a UDP socket that is bound to the address.
+int bindDatagramSocket(const Address& address) {
   int fd = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
     throw std::system_error(errno, std::generic_category(), "socket");
   sockaddr_in native = nativeOf(address);
   if (::bind(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) == 0)
     return fd;
-  int fault = errno;
+  int bindError = errno;
   ::close(fd);
-  throw std::system_error(fault, std::generic_category(), "bind");
+  throw std::system_error(bindError, std::generic_category(), "bind");
 }
 
 }  // namespace
@@ -39,23 +39,23 @@
     : scheduler_(scheduler),
       settings_(settings),
       membership_(membership),
-      here_(settings.peers[size_t(self)].address.host),
+      ownHost_(settings.peers[size_t(self)].address.host),
       codec_(settings),
       signal_(scheduler),
       timer_(scheduler, [this] { signal_.raise(); }) {
-  toldAt_.fill(-kTellAgain);
-  const Peer& me = settings.peers[size_t(self)];
+  lastLoggedAt_.fill(-kLogInterval);
+  const Peer& own = settings.peers[size_t(self)];
   try {
-    datagrams_ = std::make_unique<Descriptor>(scheduler, bound(me.address), signal_);
-    listener_ = std::make_unique<Descriptor>(scheduler, listenOn(me.address), signal_);
-  } catch (const std::system_error& fault) {
-    throw Error(ErrorKind::addressInUse, std::strerror(fault.code().value()),
-                me.name + " at " + textOf(me.address));
+    datagrams_ = std::make_unique<Descriptor>(scheduler, bindDatagramSocket(own.address), signal_);
+    listener_ = std::make_unique<Descriptor>(scheduler, listenOn(own.address), signal_);
+  } catch (const std::system_error& error) {
+    throw Error(ErrorKind::addressInUse, std::strerror(error.code().value()),
+                own.name + " at " + textOf(own.address));
   }
 }
 
-void Transport::start(std::function<double()> turned) {
-  turned_ = std::move(turned);
+void Transport::start(std::function<double()> afterTurn) {
+  afterTurn_ = std::move(afterTurn);
   task_ = run();
   task_.start();
 }
@@ -65,134 +65,136 @@
     while (true) {
       readDatagrams();
       acceptStreams();
-      for (auto link = links_.begin(); link != links_.end();) {
-        serve(**link);
-        link = (*link)->stream.open() ? std::next(link) : links_.erase(link);
+      for (auto connection = streams_.begin(); connection != streams_.end();) {
+        serve(**connection);
+        connection = (*connection)->stream.open() ? std::next(connection) : streams_.erase(connection);
       }
       membership_.tick(scheduler_.now());
       send();
-      double wanted = turned_();
-      timer_.set(std::min(membership_.nextWakeUp(), wanted));
+      double latest = afterTurn_();
+      timer_.set(std::min(membership_.nextWakeUp(), latest));
       co_await signal_;
     }
-  } catch (...) {  // a fault here must end the control thread alone
-    fault_ = std::current_exception();
+  } catch (...) {  // an exception here must only end the control thread
+    failure_ = std::current_exception();
     scheduler_.stop();
   }
 }
 
-// --- what comes
+// --- Receiving
 void Transport::readDatagrams() {
-  static thread_local char bytes[kLargest];
+  static thread_local char bytes[kReceiveBufferBytes];
   for (size_t count = 0; datagrams_->news(); ++count) {
-    if (count == kMostRead)
+    if (count == kMaxDatagramsPerTurn)
       return signal_.raise();
     sockaddr_in from{};
     socklen_t size = sizeof from;
-    ssize_t got =
+    ssize_t received =
         ::recvfrom(datagrams_->fd(), bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&from), &size);
-    if (got >= 0)
-      receive({bytes, size_t(got)}, ntohl(from.sin_addr.s_addr), ntohs(from.sin_port));
+    if (received >= 0)
+      receive({bytes, size_t(received)}, ntohl(from.sin_addr.s_addr), ntohs(from.sin_port));
     else if (errno == EAGAIN)
       datagrams_->readAll();
-    // Any other fault is what became of a datagram of ours (nobody listens there), and taken off the socket
-    // by this.
+    // Any other error concerns an earlier outgoing datagram (nothing listens at its destination); recvfrom()
+    // has cleared it.
   }
 }
 
 void Transport::acceptStreams() {
-  while (links_.size() < kMostLinks) {
+  while (streams_.size() < kMaxStreams) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
     int fd =
         ::accept4(listener_->fd(), reinterpret_cast<sockaddr*>(&from), &size, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0)
       return;
-    auto& link = *links_.emplace_back(std::make_unique<MessageStream>(scheduler_, signal_));
-    link.host = ntohl(from.sin_addr.s_addr);
-    link.late.set(scheduler_.now() + kLinkTime);
-    link.stream.adopt(fd);
+    auto& connection = *streams_.emplace_back(std::make_unique<MessageStream>(scheduler_, signal_));
+    connection.host = ntohl(from.sin_addr.s_addr);
+    connection.timeout.set(scheduler_.now() + kStreamTimeout);
+    connection.stream.adopt(fd);
   }
 }
 
-// One message a stream: its length in 4 bytes, big-endian, then its bytes, then the end.
-void Transport::serve(MessageStream& link) {
-  if (link.ours) {
-    if (!link.stream.connected())
+// A stream carries one message: its length in 4 bytes, big-endian, then its bytes. The receiver then closes
+// the stream.
+void Transport::serve(MessageStream& connection) {
+  if (connection.isOutgoing) {
+    if (!connection.stream.connected())
       return;
-    if (!link.out.empty())
-      link.stream.write(std::exchange(link.out, {}));
-    link.stream.flush();
-    link.stream.fill();  // whoever has read it all closes
+    if (!connection.unsent.empty())
+      connection.stream.write(std::exchange(connection.unsent, {}));
+    connection.stream.flush();
+    connection.stream.fill();  // finds out that the receiver has read it all and closed
     return;
   }
-  bool open = link.stream.fill();
-  std::string& in = link.stream.in();
+  bool open = connection.stream.fill();
+  std::string& in = connection.stream.in();
   if (in.size() >= 4) {
     size_t length = 0;
     for (size_t i = 0; i < 4; ++i)
       length = length << 8 | static_cast<unsigned char>(in[i]);
     if (length > kMaxMessageBytes) {
-      reportError(ErrorKind::tooLarge, textOf({link.host, 0}),
+      reportError(ErrorKind::tooLarge, textOf({connection.host, 0}),
                   "a stream announces more than a message may have");
-      return link.stream.end(CloseReason::overfull);
+      return connection.stream.end(CloseReason::overfull);
     }
     if (in.size() >= 4 + length) {
-      receive(std::string_view(in).substr(4, length), link.host, 0);
-      return link.stream.end(CloseReason::idle);
+      receive(std::string_view(in).substr(4, length), connection.host, 0);
+      return connection.stream.end(CloseReason::idle);
     }
   }
   if (!open && !in.empty())
-    reportError(ErrorKind::undecodable, textOf({link.host, 0}), "a stream ended within a message");
+    reportError(ErrorKind::undecodable, textOf({connection.host, 0}), "a stream ended within a message");
 }
 
-// A datagram comes from the very address of the member that it names; a stream from its host.
+// Checks the source against the configured address of the sender: host and port of a datagram, only the host
+// of a stream (whose `port` is 0).
 void Transport::receive(std::string_view bytes, uint32_t host, uint16_t port) {
-  auto read = codec_.decode(bytes);
+  auto decoded = codec_.decode(bytes);
   std::string from = textOf({host, port});
-  if (auto* kind = std::get_if<ErrorKind>(&read))
+  if (auto* kind = std::get_if<ErrorKind>(&decoded))
     return reportError(*kind, from, "a message was dropped");
-  auto& message = std::get<Message>(read);
-  const Address& at = settings_.peers[size_t(message.from)].address;
-  if (at.host != host || (port != 0 && at.port != port))
+  auto& message = std::get<Message>(decoded);
+  const Address& expected = settings_.peers[size_t(message.from)].address;
+  if (expected.host != host || (port != 0 && expected.port != port))
     return reportError(ErrorKind::unknownSender, from,
                        "a message came in the name of another address's member");
   membership_.receive(scheduler_.now(), message);
 }
 
+// Counts the error, and logs it at most once in kLogInterval for each kind.
 void Transport::reportError(ErrorKind kind, const std::string& from, const char* what) {
   membership_.countError(kind);
   double now = scheduler_.now();
-  if (now < toldAt_[size_t(kind)] + kTellAgain)
+  if (now < lastLoggedAt_[size_t(kind)] + kLogInterval)
     return;
-  toldAt_[size_t(kind)] = now;
+  lastLoggedAt_[size_t(kind)] = now;
   warn() << describe(kind, what, from);
 }
 
-// --- what goes
+// --- Sending
 void Transport::send() {
   for (auto& message : membership_.takeOutgoing()) {
     const Address& to = settings_.peers[size_t(message.to)].address;
     std::string bytes = codec_.encode(message);
-    if (bytes.size() <=
-        Membership::
-            kMaxDatagramBytes) {  // lost ones are the protocol's matter: nothing is told of a fault here
+    if (bytes.size() <= Membership::kMaxDatagramBytes) {
+      // Errors are ignored: the protocol copes with lost datagrams.
       sockaddr_in native = nativeOf(to);
       (void)!::sendto(datagrams_->fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL,
                       reinterpret_cast<sockaddr*>(&native), sizeof native);
       continue;
     }
-    if (links_.size() >= kMostLinks || bytes.size() > kMaxMessageBytes) {
+    if (streams_.size() >= kMaxStreams || bytes.size() > kMaxMessageBytes) {
       membership_.countError(ErrorKind::tooLarge);
       continue;
     }
-    auto& link = *links_.emplace_back(std::make_unique<MessageStream>(scheduler_, signal_));
-    link.ours = true;
+    auto& connection = *streams_.emplace_back(std::make_unique<MessageStream>(scheduler_, signal_));
+    connection.isOutgoing = true;
     for (int shift = 24; shift >= 0; shift -= 8)
-      link.out += char(bytes.size() >> shift & 0xff);
-    link.out += bytes;
-    link.late.set(scheduler_.now() + kLinkTime);
-    link.stream.connect(to, here_);
+      connection.unsent += char(bytes.size() >> shift & 0xff);
+    connection.unsent += bytes;
+    connection.timeout.set(scheduler_.now() + kStreamTimeout);
+    connection.stream.connect(to, ownHost_);
     signal_.raise();
   }
 }
--- a/src/members/transport.h
+++ b/src/members/transport.h
@@ -1,5 +1,6 @@
-// The core on sockets: datagrams, and a stream for a message that is too large for one. It decides nothing:
-// the core says what is sent, MessageCodec how it reads; what can't be passed on is counted by its kind.
+// The network transport of membership: UDP datagrams, and a TCP stream for each message that is too large for
+// one. It owns the sockets and makes no protocol decisions: Membership returns the messages to send,
+// MessageCodec encodes and decodes them. Messages that cannot be delivered are counted by ErrorKind.
 #pragma once
 #include <exception>
 #include <functional>
@@ -16,46 +17,50 @@
 
 class Transport {
  public:
-  // Binds at once: Error where the address is taken.
+  // Binds the sockets. Throws Error (addressInUse) if that fails.
   Transport(Scheduler& scheduler, const MembershipSettings& settings, MemberIndex self,
             Membership& membership);
-  // `turned` is called after each turn, with the core up to date, and says when it wants the next at the
-  // latest.
-  void start(std::function<double()> turned);
-  void send();                                           // what the core has to say
-  std::exception_ptr failure() const { return fault_; }  // what ended it
+  // Starts the event loop of the transport. `afterTurn` is called at the end of each turn, with the
+  // membership up to date, and returns the time at which the next turn has to begin at the latest.
+  void start(std::function<double()> afterTurn);
+  // Sends all outgoing messages of the membership.
+  void send();
+  // The exception that ended the event loop, or null.
+  std::exception_ptr failure() const { return failure_; }
 
  private:
-  struct MessageStream {  // a stream with one message on it, ours or theirs
+  // A stream that carries one message, outgoing or incoming.
+  struct MessageStream {
     MessageStream(Scheduler& scheduler, Signal& signal)
         : stream(scheduler, signal, kMaxMessageBytes + 8, kMaxMessageBytes + 8),
-          late(scheduler, [this, &signal] { stream.end(CloseReason::timedOut), signal.raise(); }) {}
+          timeout(scheduler, [this, &signal] { stream.end(CloseReason::timedOut), signal.raise(); }) {}
     Stream stream;
-    Timer late;
-    std::string out;    // ours, until the connection is up
-    uint32_t host = 0;  // theirs: where it comes from
-    bool ours = false;
+    Timer timeout;
+    std::string unsent;  // outgoing: the message, until the connection is established
+    uint32_t host = 0;   // incoming: the address of the sender
+    bool isOutgoing = false;
   };
 
   Task run();
   void readDatagrams();
   void acceptStreams();
-  void serve(MessageStream& link);
+  void serve(MessageStream& connection);
   void receive(std::string_view bytes, uint32_t host, uint16_t port);
   void reportError(ErrorKind kind, const std::string& from, const char* what);
 
   Scheduler& scheduler_;
   const MembershipSettings& settings_;
   Membership& membership_;
-  uint32_t here_;  // our own host
+  uint32_t ownHost_;
   MessageCodec codec_;
   Signal signal_;
   Timer timer_;
-  std::unique_ptr<Descriptor> datagrams_, listener_;
-  std::list<std::unique_ptr<MessageStream>> links_;
-  std::array<double, kErrorKinds> toldAt_;  // of each kind, when it was logged last
-  std::function<double()> turned_;
-  std::exception_ptr fault_;
+  std::unique_ptr<Descriptor> datagrams_;
+  std::unique_ptr<Descriptor> listener_;
+  std::list<std::unique_ptr<MessageStream>> streams_;
+  std::array<double, kErrorKinds> lastLoggedAt_;  // by ErrorKind
+  std::function<double()> afterTurn_;
+  std::exception_ptr failure_;
   Task task_;
 };
 
