--- a/src/control/control_thread.cpp
+++ b/src/control/control_thread.cpp
@@ -28,8 +28,8 @@
   for (size_t i = 0; i < settings.peers.size(); ++i)
     if (settings.peers[i].name == name)
       return members::MemberIndex(i);
-  throw members::Error(members::ErrorKind::notListed,
-                       "the list in the gateway file's members.peers does not name it", "'" + name + "'");
+  throw members::Error(members::ErrorKind::notListed, "members.peers in the gateway file does not list it",
+                       "'" + name + "'");
 }
 
 // Unix time in milliseconds: greater in each later run as long as the clock is not set back. Membership
@@ -197,9 +197,9 @@
   bool stale = age > kMaxSnapshotAge;
   if (stale && !stalled_)
     warn() << members::describe(members::ErrorKind::controlThreadStalled,
-                                "nothing told for " + std::to_string(age) + " s", "control thread");
+                                "no snapshot published for " + std::to_string(age) + " s", "control thread");
   if (!stale && stalled_)
-    info() << "members: the control thread tells again";
+    info() << "members: the control thread publishes snapshots again";
   stalled_ = stale;
   return stale ? nullptr : snapshot;
 }
--- a/src/members/error.cpp
+++ b/src/members/error.cpp
@@ -10,25 +10,27 @@
 };
 constexpr std::array<ErrorText, kErrorKinds> kErrorTexts = {{
     {"peers-forbidden",
-     "take the section out of the gateway file, or let the platform allow it with settings.limits.peers"},
+     "remove the section from the gateway file, or have the platform allow it by settings.limits.peers"},
     {"not-listed", "add this process's name and address to members.peers, in all processes"},
-    {"address-taken",
-     "end the other process, or correct members.peers: each process has an address of its own"},
+    {"address-taken", "stop the other process, or correct members.peers: each process needs its own address"},
     {"undecodable",
-     "look at the network between the two, or who else sends there; nothing was taken from it"},
-    {"other-fleet", "correct members.fleet, or keep the two fleets' networks apart"},
-    {"stranger", "add the process to members.peers, or correct its address there; else find out who sends"},
+     "check the network between the two, and for other senders to this address; no part of the message was "
+     "used"},
+    {"other-fleet", "correct members.fleet, or separate the networks of the two fleets"},
+    {"stranger",
+     "add the process to members.peers, or correct its address there; otherwise find out what sends from "
+     "there"},
     {"misdirected", "correct members.peers: an address there belongs to another process"},
-    {"replayed", "nothing, if seldom: a network may deliver twice; if often, find out who sends again"},
-    {"too-new", "upgrade this process: the sender's version can't be read by it"},
-    {"too-large", "upgrade the older of the two, or find out who sends"},
+    {"replayed", "none if rare: a network may duplicate messages; if frequent, find out what replays them"},
+    {"too-new", "upgrade this process: it cannot read the sender's protocol version"},
+    {"too-large", "upgrade the older of the two processes, or find out what sends from there"},
     {"two-under-one-name",
-     "end one of the two processes; this one is silent among members until its restart"},
-    {"alone",
-     "look whether the others run and whether UDP and TCP pass between the addresses in members.peers"},
+     "stop one of the two processes; this one sends nothing to other members until it is restarted"},
+    {"alone", "check that the others run, and that UDP and TCP pass between the addresses in members.peers"},
     {"control-silent",
-     "look at the processor and memory of the machine; restart if it stays; commands go on"},
-    {"control-ended", "restart when convenient, and report the line; commands go on without what is shared"},
+     "check processor and memory of the machine; restart if it persists; commands are still served"},
+    {"control-ended",
+     "restart when convenient, and report this line; commands are served without the shared state"},
 }};
 
 }  // namespace
--- a/src/members/membership.cpp
+++ b/src/members/membership.cpp
@@ -132,7 +132,7 @@
   bool isolated = records_.size() > 1 && now_ > lastHeardAt_ + kIsolatedAfter * settings_.probeInterval;
   if (isolated && !isolated_) {
     countError(ErrorKind::isolated);
-    events_.push_back({self_, MemberState::alive, ErrorKind::isolated, "nobody answers"});
+    events_.push_back({self_, MemberState::alive, ErrorKind::isolated, "no other member answers"});
   }
   isolated_ = isolated;
 }
@@ -341,7 +341,7 @@
   if (update.member == self_ || (before.state == status.state && before.instance == status.instance))
     return;
   std::string reason =
-      source == self_ ? "as seen from here" : "as " + settings_.peers[size_t(source)].name + " tells";
+      source == self_ ? "as seen from here" : "as reported by " + settings_.peers[size_t(source)].name;
   events_.push_back({update.member, status.state, {}, reason});
 }
 
@@ -353,7 +353,8 @@
   if (nameConflictAt_ >= 0 && now_ < nameConflictAt_ + kNameConflictInterval * settings_.probeInterval) {
     demoted_ = true;
     countError(ErrorKind::duplicateName);
-    events_.push_back({self_, MemberState::down, ErrorKind::duplicateName, "it answers to this name"});
+    events_.push_back(
+        {self_, MemberState::down, ErrorKind::duplicateName, "another running process uses this name"});
     outgoing_.clear();
     probes_.clear();
     relayedProbes_.clear();
--- a/src/members/membership_settings.cpp
+++ b/src/members/membership_settings.cpp
@@ -13,13 +13,15 @@
     auto& [name, address] = settings.peers[i];
     std::string key = "peers[" + std::to_string(i) + "]";
     if (auto [known, isNew] = names.emplace(name, i); !isNew)
-      errors.push_back({key + ".name", "'" + name + "' is there already, as peers[" +
-                                           std::to_string(known->second) + "]; each name is one process"});
+      errors.push_back({key + ".name", "'" + name + "' is already the name of peers[" +
+                                           std::to_string(known->second) +
+                                           "]; each process needs its own name"});
     if (address.port == 0)
       continue;  // an invalid address, reported when the configuration is read
     if (auto [known, isNew] = addresses.emplace(textOf(address), i); !isNew)
-      errors.push_back({key + ".at", textOf(address) + " is that of peers[" + std::to_string(known->second) +
-                                         "]; each process needs an address of its own"});
+      errors.push_back({key + ".at", textOf(address) + " is already the address of peers[" +
+                                         std::to_string(known->second) +
+                                         "]; each process needs its own address"});
   }
   if (settings.maxSuspicionTime < settings.minSuspicionTime)
     errors.push_back({"suspectMostS", "is " + std::to_string(settings.maxSuspicionTime) +
@@ -28,7 +30,7 @@
   if (settings.minSuspicionTime < settings.probeInterval)
     errors.push_back({"suspectLeastS", "is " + std::to_string(settings.minSuspicionTime) +
                                            ", below periodS of " + std::to_string(settings.probeInterval) +
-                                           ": nobody could speak up in that time"});
+                                           ": no member could confirm or refute a suspicion in that time"});
   return errors;
 }
 
--- a/src/members/transport.cpp
+++ b/src/members/transport.cpp
@@ -135,7 +135,7 @@
       length = length << 8 | static_cast<unsigned char>(in[i]);
     if (length > kMaxMessageBytes) {
       reportError(ErrorKind::tooLarge, textOf({connection.host, 0}),
-                  "a stream announces more than a message may have");
+                  "a stream announces a message over the size limit");
       return connection.stream.end(CloseReason::overfull);
     }
     if (in.size() >= 4 + length) {
@@ -158,7 +158,7 @@
   const Address& expected = settings_.peers[size_t(message.from)].address;
   if (expected.host != host || (port != 0 && expected.port != port))
     return reportError(ErrorKind::unknownSender, from,
-                       "a message came in the name of another address's member");
+                       "the source address is not that of the member that the message names as its sender");
   membership_.receive(scheduler_.now(), message);
 }
 
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -62,8 +62,8 @@
 JSON
 for pattern in 'members.fleet: found ""; allowed is .*minLength' \
   "members.perodS: is no key here; the nearest known one is 'periodS'" \
-  "members.peers\[1\].name: 'n1' is there already, as peers\[0\]" \
-  "members.peers\[2\].at: 10.0.0.4:4300 is that of peers\[0\]" \
+  "members.peers\[1\].name: 'n1' is already the name of peers\[0\]" \
+  "members.peers\[2\].at: 10.0.0.4:4300 is already the address of peers\[0\]" \
   "members.peers\[3\].at: found 'n3.svc:4300'; allowed is an IPv4 address and a port" \
   "members.suspectMostS: is 0.1.*, below suspectLeastS" "members.suspectLeastS: is 0.2.*, below periodS"; do
   expect "unsound members: $pattern" 1 "$pattern" "$program" check "$folder/members.json"
--- a/tests/fleet/members_test.cpp
+++ b/tests/fleet/members_test.cpp
@@ -216,7 +216,7 @@
   CHECK(team.holds({1, 2}, {0}, false));  // among members it is gone
   REQUIRE_EQ(waitpid(thread, nullptr, __WALL), thread);
   REQUIRE_EQ(ptrace(PTRACE_DETACH, thread, 0, 0), 0);
-  CHECK(team.at(0).logs("members: the control thread tells again"));
+  CHECK(team.at(0).logs("members: the control thread publishes snapshots again"));
   CHECK(team.holds({0, 1, 2}, {0, 1, 2}, true));
   team.serves(0);
 }
