--- a/models/loan.pml
+++ b/models/loan.pml
@@ -1,10 +1,12 @@
-/* A loan between two, as src/shared/loans has it: who lends and who borrows never use the same unit, though letters are
- * delayed, lost, copied and overtaken, both may stop for any time, and the lender may start anew having forgotten all.
+/* The lease protocol between two processes, as in src/shared/lease_manager.h. Invariant: the lender and the borrower
+ * never use the same unit, although messages are delayed, lost, duplicated and reordered, both may be stopped for any
+ * time, and the lender may restart without any memory of earlier leases.
  *
- * Time is one counter that goes on in steps of its own while anything else happens; a process that does nothing for
- * long is one that was stopped. Clocks that differ in speed are a slack: the borrower's may be SLACK behind by the end of
- * a loan. The guards are at both ends; -DNOGUARD takes them out, -DNOWAIT the wait after a start, -DFROMGRANT counts the
- * loan from the arrival of the grant. Each of these breaks the property, and the test sees to it that it does.
+ * Time is one counter that advances independently of all other steps; a process that takes no step for long models a
+ * process that was stopped. Clock rate differences are modelled by SLACK: the borrower's clock may be that far behind at
+ * the end of a lease. Both ends keep a guard time. -DNOGUARD removes the guards, -DNOWAIT the wait after a restart, and
+ * -DFROMGRANT counts the lease from the arrival of the grant instead of from the request. Each of these must violate the
+ * invariant, which tests/models.sh checks.
  */
 #define LENGTH 3
 #ifdef NOGUARD
@@ -16,17 +18,17 @@
 #define END 12
 
 byte now = 0;
-byte lentUntil = 0;      /* the lender counts it as gone before then */
-byte lendsFrom = 0;      /* after a start: uses and lends nothing before */
-byte asked = 0;          /* when the borrower asked last */
-byte number = 0;         /* and the number of that ask; 0: none is open */
-byte usableUntil = 0;    /* the borrower's end of it */
+byte lentUntil = 0;      /* the lender does not use the unit before */
+byte lendsFrom = 0;      /* after a restart the lender neither uses nor lends before */
+byte asked = 0;          /* time of the borrower's last request */
+byte number = 0;         /* number of that request; 0: none is pending */
+byte usableUntil = 0;    /* end of the lease at the borrower */
 byte asks = 0, starts = 0;
 
 chan toLender = [2] of { byte };
 chan toBorrower = [2] of { byte };
 
-/* Both look at their ends at the moment of use. The borrower's clock may be slow by SLACK. */
+/* Both check the time at the moment of use. The borrower's clock may be slow by SLACK. */
 #define lenderUses (now >= lentUntil && now >= lendsFrom)
 #define borrowerUses (now < usableUntil + SLACK && usableUntil > 0)
 
@@ -50,7 +52,7 @@
 #else
           usableUntil = asked + LENGTH - GUARD
 #endif
-       :: else -> skip      /* late, a copy, or of an ask that is no longer open */
+       :: else -> skip      /* late, a duplicate, or for a request that is no longer pending */
        fi }
   :: now == END -> break
   od
@@ -66,8 +68,8 @@
        fi }
   :: atomic { toLender?which -> skip }                       /* lost */
   :: atomic { toBorrower?which -> skip }
-  :: atomic { nempty(toLender) && nfull(toLender) -> toLender?<which>; toLender!which }   /* copied */
-  :: atomic { starts < 1 && now < END ->                     /* it dies and starts anew, and has forgotten */
+  :: atomic { nempty(toLender) && nfull(toLender) -> toLender?<which>; toLender!which }   /* duplicated */
+  :: atomic { starts < 1 && now < END ->                     /* restarts without memory */
        starts++; lentUntil = 0;
 #ifdef NOWAIT
        lendsFrom = now
@@ -79,5 +81,5 @@
   od
 }
 
-/* What the model is for: at no moment do both use it. */
+/* The invariant: at no moment do both use the unit. */
 ltl once { [] !(lenderUses && borrowerUses) }
