--- a/src/members/membership.cpp
+++ b/src/members/membership.cpp
@@ -293,6 +293,8 @@
 }
 
 // --- Statuses
+// Merges an update from `source`. Updates about this process are refuted by a greater incarnation, or are a
+// name conflict if they are about another instance.
 void Membership::merge(const MemberUpdate& update, MemberIndex source) {
   const MemberStatus& status = update.status;
   Record& record = recordOf(update.member);
@@ -313,6 +315,8 @@
   apply({self_, ownStatus()}, self_);
 }
 
+// Applies an update that is greater than the present status of the member: updates the digest, queues it for
+// dissemination, begins or ends a suspicion, and reports an event if the state or the instance has changed.
 void Membership::apply(const MemberUpdate& update, MemberIndex source) {
   Record& record = recordOf(update.member);
   const MemberStatus& status = update.status;
@@ -367,6 +371,7 @@
   apply({self_, ownStatus()}, self_);
 }
 
+// Called when an own probe of the member has failed.
 void Membership::suspect(MemberIndex member) {
   MemberStatus status = recordOf(member).status;
   if (status.state == MemberState::suspect)
@@ -377,6 +382,7 @@
   apply({member, status, self_}, self_);
 }
 
+// Adds a member that has detected the failure itself to a suspicion.
 void Membership::confirmSuspicion(Record& record, MemberIndex by) {
   auto& confirmedBy = record.suspicion->confirmedBy;
   if (confirmedBy.size() > kMaxConfirmations || std::ranges::find(confirmedBy, by) != confirmedBy.end())
@@ -456,10 +462,11 @@
   return int(std::ceil(kTransmissionFactor * std::log2(double(presentMembers_) + 1)));
 }
 
-void Membership::queueUpdate(MemberIndex member, int times) {
+// Queues the status of the member to be piggybacked so many times.
+void Membership::queueUpdate(MemberIndex member, int transmissions) {
   if (recordOf(member).transmissionsLeft <= 0)
     queuedUpdates_.push_back(member);
-  recordOf(member).transmissionsLeft = std::max(recordOf(member).transmissionsLeft, times);
+  recordOf(member).transmissionsLeft = std::max(recordOf(member).transmissionsLeft, transmissions);
 }
 
 // Called for a message with the same digest: its sender holds the same statuses, so each queued update needs
