--- a/src/control/control_thread.cpp
+++ b/src/control/control_thread.cpp
@@ -88,7 +88,7 @@
   stopEvent_ = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   publishSnapshot(*state_, clock.now());  // so that there is one from the first command on
   info() << "members: fleet '" << settings.fleet << "', " << settings.peers.size() << " listed; listens on "
-         << textOf(settings.peers[size_t(state_->self)].address);
+         << formatAddress(settings.peers[size_t(state_->self)].address);
   thread_ = std::thread([this] { run(); });
   // Named by this thread, so that the name is set when the constructor returns.
   pthread_setname_np(thread_.native_handle(), "control");
@@ -116,7 +116,7 @@
     snapshot->quotas.push_back(state.leases->availableQuota(i, now));
   state.publishedAt = now;
   state.publishedNumber = snapshot->members.number;
-  snapshot_.put(std::move(snapshot));
+  snapshot_.publish(std::move(snapshot));
 }
 
 // A grant promises not to use what is granted, and a return not to use what was borrowed. Neither is sent
@@ -125,7 +125,7 @@
 void ControlThread::exchangeLeases(State& state, double now) {
   auto& leases = state.leases;
   auto& membership = state.membership;
-  if (const auto* demand = demand_.get())
+  if (const auto* demand = demand_.read())
     for (size_t i = 0; i < demand->size() && i < leases->quotaCount(); ++i)
       leases->setDemand(i, (*demand)[i]);
   for (size_t i = 0; i < state.settings.peers.size(); ++i)
@@ -192,7 +192,7 @@
 
 // --- Traffic thread
 const ControlSnapshot* ControlThread::latest(double now) {
-  const ControlSnapshot* snapshot = snapshot_.get();
+  const ControlSnapshot* snapshot = snapshot_.read();
   double age = now - (snapshot ? snapshot->members.takenAt : startedAt_);
   bool stale = age > kMaxSnapshotAge;
   if (stale && !stalled_)
--- a/src/control/control_thread.h
+++ b/src/control/control_thread.h
@@ -14,7 +14,7 @@
 #include "budget/budget_settings.h"
 #include "members/membership_settings.h"
 #include "members/snapshot.h"
-#include "runtime/latest.h"
+#include "runtime/latest_value.h"
 #include "runtime/scheduler.h"
 #include "shared/lease_manager.h"
 
@@ -56,11 +56,11 @@
   // The latest snapshot whatever its age, for its quotas: each lease in them is valid until its own end. Once
   // they are applied, acknowledge() with the number of the snapshot's `members` releases the grants and
   // returns that depend on it.
-  const ControlSnapshot* latestQuotas() { return snapshot_.get(); }
+  const ControlSnapshot* latestQuotas() { return snapshot_.read(); }
   void acknowledge(uint64_t number) { acknowledged_.store(number, std::memory_order_release); }
   // The cores that this process could use of each shared rate.
   void setDemand(std::vector<double> cores) {
-    demand_.put(std::make_unique<const std::vector<double>>(std::move(cores)));
+    demand_.publish(std::make_unique<const std::vector<double>>(std::move(cores)));
   }
 
   // Announces to the other members that this process leaves, and ends the thread. Returns false if the thread
@@ -77,8 +77,8 @@
   const Clock& clock_;
   double startedAt_;
   std::unique_ptr<State> state_;  // used by the control thread only, once it runs
-  Latest<ControlSnapshot> snapshot_;
-  Latest<std::vector<double>> demand_;  // from the traffic thread to the control thread
+  LatestValue<ControlSnapshot> snapshot_;
+  LatestValue<std::vector<double>> demand_;  // from the traffic thread to the control thread
   std::atomic<uint64_t> acknowledged_{0};
   std::atomic<bool> ended_{false};
   int stopEvent_ = -1;  // an eventfd, written by stop()
--- a/src/members/membership_settings.cpp
+++ b/src/members/membership_settings.cpp
@@ -18,8 +18,8 @@
                                            "]; each process needs its own name"});
     if (address.port == 0)
       continue;  // an invalid address, reported when the configuration is read
-    if (auto [known, isNew] = addresses.emplace(textOf(address), i); !isNew)
-      errors.push_back({key + ".at", textOf(address) + " is already the address of peers[" +
+    if (auto [known, isNew] = addresses.emplace(formatAddress(address), i); !isNew)
+      errors.push_back({key + ".at", formatAddress(address) + " is already the address of peers[" +
                                          std::to_string(known->second) +
                                          "]; each process needs its own address"});
   }
--- a/src/members/transport.cpp
+++ b/src/members/transport.cpp
@@ -24,7 +24,7 @@
   int fd = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
     throw std::system_error(errno, std::generic_category(), "socket");
-  sockaddr_in native = nativeOf(address);
+  sockaddr_in native = toSockaddr(address);
   if (::bind(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) == 0)
     return fd;
   int bindError = errno;
@@ -50,7 +50,7 @@
     listener_ = std::make_unique<Descriptor>(scheduler, listenOn(own.address), signal_);
   } catch (const std::system_error& error) {
     throw Error(ErrorKind::addressInUse, std::strerror(error.code().value()),
-                own.name + " at " + textOf(own.address));
+                own.name + " at " + formatAddress(own.address));
   }
 }
 
@@ -67,7 +67,7 @@
       acceptStreams();
       for (auto connection = streams_.begin(); connection != streams_.end();) {
         serve(**connection);
-        connection = (*connection)->stream.open() ? std::next(connection) : streams_.erase(connection);
+        connection = (*connection)->stream.isOpen() ? std::next(connection) : streams_.erase(connection);
       }
       membership_.tick(scheduler_.now());
       send();
@@ -84,7 +84,7 @@
 // --- Receiving
 void Transport::readDatagrams() {
   static thread_local char bytes[kReceiveBufferBytes];
-  for (size_t count = 0; datagrams_->news(); ++count) {
+  for (size_t count = 0; datagrams_->mayBeReadable(); ++count) {
     if (count == kMaxDatagramsPerTurn)
       return signal_.raise();
     sockaddr_in from{};
@@ -94,7 +94,7 @@
     if (received >= 0)
       receive({bytes, size_t(received)}, ntohl(from.sin_addr.s_addr), ntohs(from.sin_port));
     else if (errno == EAGAIN)
-      datagrams_->readAll();
+      datagrams_->clearReadable();
     // Any other error concerns an earlier outgoing datagram (nothing listens at its destination); recvfrom()
     // has cleared it.
   }
@@ -119,39 +119,40 @@
 // the stream.
 void Transport::serve(MessageStream& connection) {
   if (connection.isOutgoing) {
-    if (!connection.stream.connected())
+    if (!connection.stream.isConnected())
       return;
     if (!connection.unsent.empty())
       connection.stream.write(std::exchange(connection.unsent, {}));
     connection.stream.flush();
-    connection.stream.fill();  // finds out that the receiver has read it all and closed
+    connection.stream.receive();  // finds out that the receiver has read it all and closed
     return;
   }
-  bool open = connection.stream.fill();
-  std::string& in = connection.stream.in();
+  bool open = connection.stream.receive();
+  std::string& in = connection.stream.input();
   if (in.size() >= 4) {
     size_t length = 0;
     for (size_t i = 0; i < 4; ++i)
       length = length << 8 | static_cast<unsigned char>(in[i]);
     if (length > kMaxMessageBytes) {
-      reportError(ErrorKind::tooLarge, textOf({connection.host, 0}),
+      reportError(ErrorKind::tooLarge, formatAddress({connection.host, 0}),
                   "a stream announces a message over the size limit");
-      return connection.stream.end(CloseReason::overfull);
+      return connection.stream.close(CloseReason::bufferFull);
     }
     if (in.size() >= 4 + length) {
       receive(std::string_view(in).substr(4, length), connection.host, 0);
-      return connection.stream.end(CloseReason::idle);
+      return connection.stream.close(CloseReason::idle);
     }
   }
   if (!open && !in.empty())
-    reportError(ErrorKind::undecodable, textOf({connection.host, 0}), "a stream ended within a message");
+    reportError(ErrorKind::undecodable, formatAddress({connection.host, 0}),
+                "a stream ended within a message");
 }
 
 // Checks the source against the configured address of the sender: host and port of a datagram, only the host
 // of a stream (whose `port` is 0).
 void Transport::receive(std::string_view bytes, uint32_t host, uint16_t port) {
   auto decoded = codec_.decode(bytes);
-  std::string from = textOf({host, port});
+  std::string from = formatAddress({host, port});
   if (auto* kind = std::get_if<ErrorKind>(&decoded))
     return reportError(*kind, from, "a message was dropped");
   auto& message = std::get<Message>(decoded);
@@ -179,7 +180,7 @@
     std::string bytes = codec_.encode(message);
     if (bytes.size() <= Membership::kMaxDatagramBytes) {
       // Errors are ignored: the protocol copes with lost datagrams.
-      sockaddr_in native = nativeOf(to);
+      sockaddr_in native = toSockaddr(to);
       (void)!::sendto(datagrams_->fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL,
                       reinterpret_cast<sockaddr*>(&native), sizeof native);
       continue;
--- a/src/members/transport.h
+++ b/src/members/transport.h
@@ -33,7 +33,7 @@
   struct MessageStream {
     MessageStream(Scheduler& scheduler, Signal& signal)
         : stream(scheduler, signal, kMaxMessageBytes + 8, kMaxMessageBytes + 8),
-          timeout(scheduler, [this, &signal] { stream.end(CloseReason::timedOut), signal.raise(); }) {}
+          timeout(scheduler, [this, &signal] { stream.close(CloseReason::timedOut), signal.raise(); }) {}
     Stream stream;
     Timer timeout;
     std::string unsent;  // outgoing: the message, until the connection is established
