--- a/src/members/membership_settings.cpp
+++ b/src/members/membership_settings.cpp
@@ -6,19 +6,22 @@
 
 std::vector<ValidationError> validate(const MembershipSettings& settings) {
   std::vector<ValidationError> errors;
-  std::map<std::string, size_t> names, places;
+  // Index of the first peer with each name and with each address.
+  std::map<std::string, size_t> names;
+  std::map<std::string, size_t> addresses;
   for (size_t i = 0; i < settings.peers.size(); ++i) {
-    auto& [name, at] = settings.peers[i];
+    auto& [name, address] = settings.peers[i];
     std::string key = "peers[" + std::to_string(i) + "]";
-    if (auto [known, fresh] = names.emplace(name, i); !fresh)
-      errors.push_back({key + ".name", "'" + name + "' is there already, as peers[" +
-                                           std::to_string(known->second) + "]; each name is one process"});
-    if (at.port == 0)
-      continue;  // told already, as no address
-    if (auto [known, fresh] = places.emplace(formatAddress(at), i); !fresh)
-      errors.push_back({key + ".at", formatAddress(at) + " is that of peers[" +
+    if (auto [known, isNew] = names.emplace(name, i); !isNew)
+      errors.push_back({key + ".name", "'" + name + "' is already the name of peers[" +
+                                           std::to_string(known->second) +
+                                           "]; each process needs its own name"});
+    if (address.port == 0)
+      continue;  // an invalid address, reported when the configuration is read
+    if (auto [known, isNew] = addresses.emplace(formatAddress(address), i); !isNew)
+      errors.push_back({key + ".at", formatAddress(address) + " is already the address of peers[" +
                                          std::to_string(known->second) +
-                                         "]; each process needs an address of its own"});
+                                         "]; each process needs its own address"});
   }
   if (settings.maxSuspicionTime < settings.minSuspicionTime)
     errors.push_back({"suspectMostS", "is " + std::to_string(settings.maxSuspicionTime) +
@@ -27,7 +30,7 @@
   if (settings.minSuspicionTime < settings.probeInterval)
     errors.push_back({"suspectLeastS", "is " + std::to_string(settings.minSuspicionTime) +
                                            ", below periodS of " + std::to_string(settings.probeInterval) +
-                                           ": nobody could speak up in that time"});
+                                           ": no member could confirm or refute a suspicion in that time"});
   return errors;
 }
 
