--- a/src/budget/budget_settings.h
+++ b/src/budget/budget_settings.h
@@ -1,4 +1,5 @@
-// Budgets as somebody has set them: what each node of the tree may have, and what is wrong with that. No I/O.
+// Settings of the budget tree (the section `budgets` of the gateway file): the guarantee and ceiling of each
+// node, and their validation beyond the schema. No I/O.
 #pragma once
 #include <cmath>
 #include <optional>
@@ -7,59 +8,64 @@
 
 namespace elmcleat::budget {
 
-struct ResourceAmounts {           // absent: nothing is said of it
-  std::optional<double> cores;     // work a second, of all gateways together
-  std::optional<double> memoryMb;  // in use at engines at once
-  std::optional<double> sends;     // out at once
+// An amount of each resource. Absent: not limited, or not guaranteed.
+struct ResourceAmounts {
+  std::optional<double> cores;     // work per second, summed over all gateways
+  std::optional<double> memoryMb;  // in use at engines at the same time
+  std::optional<double> sends;     // in flight at the same time
 };
 
 struct NodeSettings {
-  ResourceAmounts guarantee, ceiling;
-  double burst = 1;           // seconds of the guarantee, or of the ceiling, that may be put by
-  double weight = 1;          // of what others leave
-  int priority = 1;           // who borrows first; the higher, the sooner
-  double agingThreshold = 2;  // seconds held after which a command's claim goes by its age
+  ResourceAmounts guarantee;
+  ResourceAmounts ceiling;
+  double burst = 1;           // seconds of the guarantee, or of the ceiling, that may accumulate as credit
+  double weight = 1;          // relative share, among siblings, of the capacity that others leave unused
+  int priority = 1;           // order of borrowing: higher priorities borrow first
+  double agingThreshold = 2;  // seconds in the queue after which a command is also scheduled by its age
 };
 
 struct NodeEntry {
-  std::string name;    // a tenant's; or of what lies below: TENANT/USER, TENANT/:PROFILE
-  std::string parent;  // another entry's name; empty: the tree's root, or what the name's own path says
+  std::string name;    // a tenant, or a node below one: TENANT/USER, TENANT/:PROFILE
+  std::string parent;  // name of another entry; empty: the name's own path decides, and without one the root
   NodeSettings settings;
 };
 
 enum class PreemptionMode { off, lowerPriority, cancel };
 
 struct BudgetSettings {
-  double totalCores = 0;    // what there is to be guaranteed; 0: not said
-  std::string actorHeader;  // the request header that names users below the tenant; empty: none
-  size_t maxNodes = 4096;   // of the tree; without room a command falls under its parent's common node
-  double idleTimeout = 60;  // seconds after which an unused node without an entry goes
-  double agedShare = 0.1;   // part of the work started that goes by age alone, while something is old enough
-  double borrowerYieldTime = 0.3;  // seconds for which who borrows waits for one within its guarantee
+  double totalCores = 0;    // capacity that guarantees must fit into; 0: not given
+  std::string actorHeader;  // request header that names the users below a tenant; empty: none
+  size_t maxNodes = 4096;   // beyond it, commands share a common node under their parent
+  double idleTimeout = 60;  // seconds after which an unused node without an entry is removed
+  double agedShare = 0.1;   // share of the started work that is scheduled by age alone, while any has aged
+  double borrowerYieldTime = 0.3;  // seconds for which borrowers yield to a leaf within its guarantee
   PreemptionMode preemptionMode = PreemptionMode::lowerPriority;
-  double preemptionDelay = 0.25;  // seconds held within a guarantee, before what others borrowed is preempted
-  bool adviseRetryAfter = false;  // a Retry-After on what is shed, from the estimate of the wait
+  double preemptionDelay = 0.25;  // seconds in the queue before borrowed sends are preempted
+  bool adviseRetryAfter = false;  // adds Retry-After to shed commands, from the wait estimate
   NodeSettings defaults;          // of nodes without an entry
   std::vector<NodeEntry> entries;
 };
 
 struct ValidationError {
-  std::string key, message;  // the key's path below the section; what was found and what is allowed
+  std::string key;      // path below the section
+  std::string message;  // what was found and what is allowed
 };
-// All that no schema can say: parents that are not there, cycles, more guaranteed than there is. Empty: sound.
+// Checks what the schema cannot express: unknown parents, cycles, guarantees beyond the capacity above them.
+// Returns an empty list if the settings are valid.
 std::vector<ValidationError> validate(const BudgetSettings& settings);
 
-// The rates that a plan sets for the whole fleet, in the order of its entries: they may be shared between gateways.
+// A rate that the settings give for the whole fleet. Gateways may share it by leases.
 struct FleetRate {
-  std::string path;  // the node's
+  std::string path;  // of the node
   bool isCeiling = false;
   double cores = 0;
   bool operator==(const FleetRate&) const = default;
   std::string name() const { return path + (isCeiling ? "#ceiling" : "#guarantee"); }
 };
+// In the order of the entries; of one entry, the guarantee before the ceiling.
 std::vector<FleetRate> fleetRates(const BudgetSettings& settings);
 
-// The entry under which `entry` stands, by its parent or by its path; none: the root.
+// The parent entry of `entry`, by its `parent` or its path; nullptr: the root.
 const NodeEntry* parentOf(const BudgetSettings& settings, const NodeEntry& entry);
 
 }  // namespace elmcleat::budget
--- a/src/budget/tree_scheduler.h
+++ b/src/budget/tree_scheduler.h
@@ -1,4 +1,5 @@
-// The budgets as the module meets them (BudgetScheduler): a tree, and waits told by it. Pure; told the time.
+// TreeScheduler: implements the module's BudgetScheduler by a BudgetTree, with wait estimates and with rates
+// shared between gateways. No I/O; callers pass the time.
 #pragma once
 #include <cmath>
 #include <functional>
@@ -16,23 +17,24 @@
 
 class TreeScheduler final : public BudgetScheduler {
  public:
-  // `gateways`: how many share what the plan gives.
+  // `gateways`: number of gateways that share the amounts of the settings.
   TreeScheduler(const BudgetSettings& settings, int gateways);
-  void reconfigure(const BudgetSettings& settings);  // with commands held and out
+  void reconfigure(const BudgetSettings& settings);  // keeps queued and running commands
 
-  // Rates that are shared with other gateways, in the order of fleetRates(plan), instead of an equal part of each. Until
-  // when they hold stands in them: it is looked at before each decision.
-  void setQuotas(std::vector<shared::AvailableQuota> usable);
-  std::vector<double>
-  demand();  // of the same: cores that there is use for here, by the last second and what is held
-  bool hasSharedQuotas() const { return shared_ != nullptr; }
+  // Sets the rates that are shared with other gateways, in the order of fleetRates(settings). From the first
+  // call they replace this gateway's equal part of each rate. Borrowed parts expire by themselves.
+  void setQuotas(std::vector<shared::AvailableQuota> available);
+  // Cores that this gateway has use for, for each shared rate, by the recent demand and the queued work.
+  std::vector<double> demand();
+  bool hasSharedQuotas() const { return sharedQuotas_ != nullptr; }
 
-  // What a command was told when it came; and what it would be told if it came again now.
+  // The wait estimate that a command got on arrival, and the one that it would get now.
   std::optional<WaitEstimate> estimateAtArrival(const Command& command) const;
   WaitEstimate estimateNow(const Command& command) const;
-  // Called when a command that was told something starts for the first time: told, and seconds held.
-  void onWaitMeasured(std::function<void(Command&, WaitEstimate, double)> hear) {
-    waitMeasured_ = std::move(hear);
+  // Sets a callback for the first start of each command that has an estimate: the estimate and the seconds
+  // queued.
+  void onWaitMeasured(std::function<void(Command&, WaitEstimate, double)> callback) {
+    waitMeasured_ = std::move(callback);
   }
 
   const BudgetTree& tree() const { return tree_; }
@@ -55,26 +57,28 @@
   struct Entry {
     QueuedCommand queuedCommand;
     Command* command = nullptr;
-    std::optional<WaitEstimate> told;
-    bool begun = false;
+    std::optional<WaitEstimate> estimate;  // on arrival
+    bool started = false;                  // at least once
   };
-  struct Shared {
+  struct SharedQuotas {
     std::vector<FleetRate> rates;
-    std::vector<shared::AvailableQuota> usable;
-    std::vector<double> inForce;                     // cores
-    std::vector<SlidingWindowSum> asked, askedLong;  // work, over one second and over ten
-    std::unordered_map<std::string, std::vector<size_t>> byPath;
-    double changesAt = -HUGE_VAL;  // when something of what is usable ends
+    std::vector<shared::AvailableQuota> available;
+    std::vector<double> appliedCores;                             // as set in the tree
+    std::vector<SlidingWindowSum> recentDemand;                   // work queued in the last second
+    std::vector<SlidingWindowSum> longTermDemand;                 // work queued in the last kLongTermWindow
+    std::unordered_map<std::string, std::vector<size_t>> byPath;  // indices into `rates`
+    double nextExpiry = -HUGE_VAL;                                // of anything borrowed
   };
-  void apply();
-  Entry& entryOf(const Command& command) const { return *entries_.at(&command); }
+  void applyQuotas();
+  Entry& entryFor(const Command& command) const { return *entries_.at(&command); }
 
-  std::unique_ptr<Shared> shared_;  // none: an equal part of all
+  std::unique_ptr<SharedQuotas> sharedQuotas_;  // nullptr: an equal part of each rate
   BudgetTree tree_;
-  WaitEstimator waits_;
-  double gatewayShare_, now_ = 0;
+  WaitEstimator waitEstimator_;
+  double gatewayShare_;
+  double now_ = 0;
   std::unordered_map<const Command*, std::unique_ptr<Entry>> entries_;
-  std::unordered_map<const QueuedCommand*, Entry*> items_;
+  std::unordered_map<const QueuedCommand*, Entry*> entriesByQueuedCommand_;
   std::function<void(Command&, WaitEstimate, double)> waitMeasured_;
 };
 
--- a/src/budget/wait_estimator.cpp
+++ b/src/budget/wait_estimator.cpp
@@ -6,103 +6,107 @@
 namespace elmcleat::budget {
 namespace {
 
-constexpr double kStep = 0.08;   // of a factor's logarithm, a miss
-constexpr double kLeast = 0.01;  // seconds; what is told below it counts for nothing: a draw takes longer
-constexpr double kQueuePart = 0.5, kWaitStep = 0.1;
-constexpr double kWaited = 0.02;   // seconds; less is no wait
-constexpr double kSpread = 1.25;   // nine in ten over a half, at least: a trend outruns the narrow ones
-constexpr double kLogMost = 5;     // a factor's logarithm, at most and at least
-constexpr size_t kProfiles = 256;  // with factors of their own
+constexpr double kLogStep = 0.08;  // of a factor's logarithm per measured wait
+constexpr double kMinWait = 0.01;  // seconds added to raw estimates: a draw takes longer than shorter waits
+constexpr double kQueueDelayWeight = 0.5;  // of the queue delay against the mean of recent waits
+constexpr double kMeanWaitStep = 0.1;      // of the moving average of waits
+constexpr double kMinMeasuredWait = 0.02;  // seconds; shorter waits are not counted
+constexpr double kMinSpread = 1.25;        // of p90 over the median; a trend outruns a narrower one
+constexpr double kMaxLogFactor = 5;        // bounds a factor's logarithm on both sides
+constexpr size_t kMaxProfiles = 256;       // with factors of their own; the others share one
 
 }  // namespace
 
-// The nearest queue above that tells how fast it goes: the command's own goes as fast as it, for its part.
-double WaitEstimator::base(const QueuedCommand& item, double now) {
-  for (const BudgetNode* node = item.leaf; node; node = node->parent) {
+// Uses the nearest queue on the path with a known departure rate: the command's own queue is assumed to
+// depart in proportion to it.
+double WaitEstimator::queueDelay(const QueuedCommand& command, double now) {
+  for (const BudgetNode* node = command.leaf; node; node = node->parent) {
     double rate = node->departures.rate(now);
     if (rate > 0)
-      return (node->queuedWork + item.work / 2) / rate;
+      return (node->queuedWork + command.work / 2) / rate;
   }
   return 0;
 }
 
-std::string WaitEstimator::keyOf(const QueuedCommand& item) const {
-  std::string profile = item.path.empty() ? "" : item.path.back();
-  return factors_.size() >= kProfiles && !factors_.contains(profile) ? "" : profile;
+std::string WaitEstimator::profileKey(const QueuedCommand& command) const {
+  std::string profile = command.path.empty() ? "" : command.path.back();
+  return factors_.size() >= kMaxProfiles && !factors_.contains(profile) ? "" : profile;
 }
 
-double WaitEstimator::reckoned(const QueuedCommand& item, double now) {
-  bool empty = item.leaf && item.leaf->queued == 0 && item.leaf->departures.rate(now) > 0;
-  double byQueue = kLeast + (empty ? 0 : base(item, now));
-  if (!item.leaf || item.leaf->meanLogWait == 0)
+double WaitEstimator::rawEstimate(const QueuedCommand& command, double now) {
+  bool empty = command.leaf && command.leaf->queued == 0 && command.leaf->departures.rate(now) > 0;
+  double byQueue = kMinWait + (empty ? 0 : queueDelay(command, now));
+  if (!command.leaf || command.leaf->meanLogWait == 0)
     return byQueue;
-  // In the mean of logarithms: the queue tells what is new, waits of late what draws add to it.
-  return std::pow(byQueue, kQueuePart) * std::pow(kLeast + std::exp(item.leaf->meanLogWait), 1 - kQueuePart);
+  // Geometric mean: the queue shows recent changes, measured waits show what the draws add to it.
+  return std::pow(byQueue, kQueueDelayWeight) *
+         std::pow(kMinWait + std::exp(command.leaf->meanLogWait), 1 - kQueueDelayWeight);
 }
 
-WaitEstimate WaitEstimator::estimateWait(const QueuedCommand& item, double now) const {
-  auto found = factors_.find(keyOf(item));
+WaitEstimate WaitEstimator::estimateWait(const QueuedCommand& command, double now) const {
+  auto found = factors_.find(profileKey(command));
   Factors factors = found == factors_.end() ? Factors{} : found->second;
-  double all = reckoned(item, now), half = all * std::exp(factors.log[0]);
-  return {half, std::max(half * kSpread, all * std::exp(factors.log[1]))};
+  double raw = rawEstimate(command, now);
+  double median = raw * std::exp(factors.log[0]);
+  return {median, std::max(median * kMinSpread, raw * std::exp(factors.log[1]))};
 }
 
-WaitEstimate WaitEstimator::commandArrived(const QueuedCommand& item, double now) {
-  Factors& factors = factors_[keyOf(item)];
-  WaitEstimate estimate = estimateWait(item, now);
-  Pending& pending = pending_[item.arrivalNumber] = {&factors, now, reckoned(item, now), {}};
-  for (size_t i = 0; i < kSure.size(); ++i)
-    due_.push({now + pending.base * std::exp(factors.log[i]), item.arrivalNumber, i});
+WaitEstimate WaitEstimator::commandArrived(const QueuedCommand& command, double now) {
+  Factors& factors = factors_[profileKey(command)];
+  WaitEstimate estimate = estimateWait(command, now);
+  Pending& pending = pending_[command.arrivalNumber] = {&factors, now, rawEstimate(command, now), {}};
+  for (size_t i = 0; i < kQuantiles.size(); ++i)
+    deadlines_.push({now + pending.rawEstimate * std::exp(factors.log[i]), command.arrivalNumber, i});
   return estimate;
 }
 
 void WaitEstimator::advanceTo(double now) {
-  while (!due_.empty() && due_.top().at < now) {
-    Due one = due_.top();
-    due_.pop();
-    auto found = pending_.find(one.number);
+  while (!deadlines_.empty() && deadlines_.top().time < now) {
+    Deadline deadline = deadlines_.top();
+    deadlines_.pop();
+    auto found = pending_.find(deadline.arrivalNumber);
     if (found == pending_.end())
       continue;
     Pending& pending = found->second;
-    double& log = pending.factors->log[one.which];
-    double passes = pending.heldAt + pending.base * std::exp(log);
-    if (passes >= now) {  // the factor has grown since
-      due_.push({passes, one.number, one.which});
+    double& log = pending.factors->log[deadline.quantile];
+    double passedAt = pending.queuedAt + pending.rawEstimate * std::exp(log);
+    if (passedAt >= now) {  // the factor has grown since
+      deadlines_.push({passedAt, deadline.arrivalNumber, deadline.quantile});
       continue;
     }
-    pending.missed[one.which] = true;
-    log = std::min(log + kStep * kSure[one.which], kLogMost);
+    pending.missed[deadline.quantile] = true;
+    log = std::min(log + kLogStep * kQuantiles[deadline.quantile], kMaxLogFactor);
   }
 }
 
-std::optional<double> WaitEstimator::commandStarted(const QueuedCommand& item, double now) {
+std::optional<double> WaitEstimator::commandStarted(const QueuedCommand& command, double now) {
   advanceTo(now);
-  auto found = pending_.find(item.arrivalNumber);
+  auto found = pending_.find(command.arrivalNumber);
   if (found == pending_.end())
     return std::nullopt;
   Pending& pending = found->second;
-  double held = now - pending.heldAt;
-  bool waited = held > kWaited;  // who starts at once says nothing of waits
-  for (size_t i = 0; waited && i < kSure.size(); ++i) {
+  double wait = now - pending.queuedAt;
+  bool counts = wait > kMinMeasuredWait;  // an immediate start carries no information on waits
+  for (size_t i = 0; counts && i < kQuantiles.size(); ++i) {
     double& log = pending.factors->log[i];
     if (!pending.missed[i])
-      log = std::max(log - kStep * (1 - kSure[i]), -kLogMost);
+      log = std::max(log - kLogStep * (1 - kQuantiles[i]), -kMaxLogFactor);
   }
-  if (waited && item.leaf) {
-    double& mean = item.leaf->meanLogWait;
-    mean = mean == 0 ? std::log(held) : mean + kWaitStep * (std::log(held) - mean);
+  if (counts && command.leaf) {
+    double& mean = command.leaf->meanLogWait;
+    mean = mean == 0 ? std::log(wait) : mean + kMeanWaitStep * (std::log(wait) - mean);
   }
   pending_.erase(found);
-  return held;
+  return wait;
 }
 
-void WaitEstimator::commandLeft(const QueuedCommand& item) {
-  auto found = pending_.find(item.arrivalNumber);
+void WaitEstimator::commandLeft(const QueuedCommand& command) {
+  auto found = pending_.find(command.arrivalNumber);
   if (found == pending_.end())
     return;
-  for (size_t i = 0; i < kSure.size(); ++i)
+  for (size_t i = 0; i < kQuantiles.size(); ++i)
     if (found->second.missed[i])
-      found->second.factors->log[i] -= kStep * kSure[i];
+      found->second.factors->log[i] -= kLogStep * kQuantiles[i];
   pending_.erase(found);
 }
 
--- a/src/budget/wait_estimator.h
+++ b/src/budget/wait_estimator.h
@@ -1,12 +1,14 @@
-// Honest waits: how long a command that comes now will be held, with a stated sureness. Pure; told the time.
+// WaitEstimator: estimates how long a command that arrives now will be queued, as quantiles. No I/O; callers
+// pass the time.
 //
-// The base is the work held before it over the rate at which its queue goes while something is held there. For each
-// profile two factors, one a sureness, follow the quantiles of what was seen over its base (stochastic approximation
-// of a quantile, Robbins and Monro 1951, in logs, with a step that does not shrink): more seen than the factor says
-// raises it by its sureness, less lowers it by the rest. What still is held counts as soon as it passes the factor, not
-// when it starts: a slowdown shows before the queue has drained. What ends without a start takes that back, since
-// nobody waited to the end. Factors are compared with what is seen, not with what was told: else what was told long
-// ago would swing them.
+// The raw estimate is the queued work ahead of the command over the departure rate of its queue. Each profile
+// has one factor per quantile, which follows that quantile of the ratio of measured wait to raw estimate
+// (stochastic approximation of a quantile, Robbins and Monro 1951, in logarithms, with a constant step): a
+// wait above the factor raises it in proportion to the quantile, one below lowers it in proportion to the
+// rest. A command that is still queued counts as soon as it passes the factor, not when it starts, so that a
+// slowdown shows before the queue has drained. A command that ends without a start takes that back, because
+// its wait was never completed. Factors are compared with measured waits, not with the estimates given on
+// arrival: old estimates would make them oscillate.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -21,44 +23,49 @@
 
 namespace elmcleat::budget {
 
-struct WaitEstimate {  // seconds held: no longer, with a sureness of a half, and of nine in ten
-  double median = 0, p90 = 0;
+// Seconds in the queue.
+struct WaitEstimate {
+  double median = 0;
+  double p90 = 0;
 };
 
 class WaitEstimator {
  public:
-  // What a command would be told that came to this leaf now.
-  WaitEstimate estimateWait(const QueuedCommand& item, double now) const;
-  // Comes; told before it is held.
-  WaitEstimate commandArrived(const QueuedCommand& item, double now);
-  // Its first start: the wait is over, and known. Seconds held; none if it was told nothing.
-  std::optional<double> commandStarted(const QueuedCommand& item, double now);
-  void commandLeft(const QueuedCommand& item);  // ended without a start
-  void advanceTo(double now);                   // counts what was told and has passed
+  // The estimate for a command that would be queued at this leaf now. Does not change the estimator.
+  WaitEstimate estimateWait(const QueuedCommand& command, double now) const;
+  // Estimates the wait of a command and follows it from now on. To be called before the command is queued.
+  WaitEstimate commandArrived(const QueuedCommand& command, double now);
+  // The command starts for the first time: its wait is measured. Returns the seconds queued; nullopt if the
+  // command is not known.
+  std::optional<double> commandStarted(const QueuedCommand& command, double now);
+  void commandLeft(const QueuedCommand& command);  // ended without a start
+  void advanceTo(double now);                      // counts the commands that have passed their factors
 
  private:
-  static constexpr std::array<double, 2> kSure = {0.52, 0.92};  // a little more: who is shed never counts
+  // Slightly above the median and 0.9: commands that are shed are never measured.
+  static constexpr std::array<double, 2> kQuantiles = {0.52, 0.92};
   struct Factors {
-    std::array<double, 2> log{0.0, 1.0};
+    std::array<double, 2> log{0.0, 1.0};  // natural logarithms, by quantile
   };
   struct Pending {
     Factors* factors = nullptr;
-    double heldAt = 0, base = 0;
-    std::array<bool, 2> missed{};
+    double queuedAt = 0;
+    double rawEstimate = 0;
+    std::array<bool, 2> missed{};  // whether the wait has passed the factor, by quantile
   };
-  struct Due {
-    double at;
-    uint64_t number;
-    size_t which;
-    bool operator<(const Due& other) const { return at > other.at; }  // the soonest on top
+  struct Deadline {  // when a pending command passes its factor
+    double time;
+    uint64_t arrivalNumber;
+    size_t quantile;                                                           // index
+    bool operator<(const Deadline& other) const { return time > other.time; }  // the earliest on top
   };
-  static double base(const QueuedCommand& item, double now);
-  static double reckoned(const QueuedCommand& item, double now);
-  std::string keyOf(const QueuedCommand& item) const;
+  static double queueDelay(const QueuedCommand& command, double now);
+  static double rawEstimate(const QueuedCommand& command, double now);
+  std::string profileKey(const QueuedCommand& command) const;
 
   std::map<std::string, Factors> factors_;  // by profile
   std::unordered_map<uint64_t, Pending> pending_;
-  std::priority_queue<Due> due_;
+  std::priority_queue<Deadline> deadlines_;
 };
 
 }  // namespace elmcleat::budget
