--- a/src/view/engine_subset.cpp
+++ b/src/view/engine_subset.cpp
@@ -7,13 +7,17 @@
 namespace elmcleat::view {
 namespace {
 
-std::vector<std::string> sorted(std::vector<std::string> names) {
+constexpr int kLoweringFactor = 4;  // a rank limit is lowered only if it falls by this factor
+// Memory of the list of changed engines that is kept after a whole list.
+constexpr size_t kMaxIdleCapacity = 4096;
+
+std::vector<std::string> sortedUnique(std::vector<std::string> names) {
   std::ranges::sort(names);
   names.erase(std::unique(names.begin(), names.end()), names.end());
   return names;
 }
 
-// By id, each once: the last counts.
+// Sorted by id. Of several listings of one engine only the last is kept.
 std::vector<const Listing*> lastOfEach(const std::vector<Listing>& rows) {
   std::vector<const Listing*> last;
   last.reserve(rows.size());
@@ -33,7 +37,7 @@
 }  // namespace
 
 EngineSubset::EngineSubset(const SubsetSettings& subsetSettings, const Settings& settings)
-    : settings_(settings), base_(std::min(subsetSettings.usersPerEngine, settings.gatewayCount)) {
+    : settings_(settings), baseDepth_(std::min(subsetSettings.usersPerEngine, settings.gatewayCount)) {
   if (settings.ordinal < 0)
     throw Error(ErrorKind::ordinalMissing,
                 "found none; allowed is 0 to " + std::to_string(settings.gatewayCount - 1),
@@ -45,297 +49,342 @@
                     std::to_string(settings.gatewayCount - 1),
                 "settings.ordinal");
   for (auto& profile : settings.profiles) {
-    auto zones = sorted(profile.allowedZones), kinds = sorted(profile.allowedKinds);
-    if (std::ranges::none_of(depths_, [&](auto& reach) { return reach.sameAs(zones, kinds); }))
+    auto zones = sortedUnique(profile.allowedZones);
+    auto kinds = sortedUnique(profile.allowedKinds);
+    if (std::ranges::none_of(depths_, [&](auto& depth) { return depth.sameAs(zones, kinds); }))
       depths_.emplace_back(subsetSettings, settings.gatewayCount, profile.name, zones, kinds);
   }
-  told_.resize(depths_.size());
+  warned_.resize(depths_.size());
 }
 
 Settings EngineSubset::localSettings() const {
   Settings local = settings_;
-  local.gatewayCount = base_, local.ordinal = -1;
+  local.gatewayCount = baseDepth_;
+  local.ordinal = -1;
   for (auto& tenant : local.tenants)
-    tenant.quota *= double(base_) / settings_.gatewayCount;
+    tenant.quota *= double(baseDepth_) / settings_.gatewayCount;
   return local;
 }
 
 // --- the list
-uint16_t EngineSubset::makeOf(const std::string& zone, const std::string& kind) {
-  auto [at, fresh] = makeByName_.try_emplace(zone + '\n' + kind, uint16_t(makes_.size()));
-  if (fresh) {
-    EngineType& make = makes_.emplace_back(EngineType{zone, kind, {}, 0});
+uint16_t EngineSubset::typeOf(const std::string& zone, const std::string& kind) {
+  auto [found, added] = typeByName_.try_emplace(zone + '\n' + kind, uint16_t(types_.size()));
+  if (added) {
+    EngineType& type = types_.emplace_back(EngineType{zone, kind, {}, 0});
     for (size_t i = 0; i < depths_.size(); ++i)
       if (depths_[i].serves(zone, kind))
-        make.classes.push_back(i);
+        type.classes.push_back(i);
   }
-  return at->second;
+  return found->second;
 }
 
 EngineSubset::Entry EngineSubset::entryOf(const Listing& listing, double now) {
   Entry entry;
-  entry.id = listing.row.id, entry.host = listing.address.host, entry.port = listing.address.port;
-  entry.bornMs = listing.bornMs, entry.cell = listing.row.cell, entry.state = listing.row.state;
-  entry.make = makeOf(listing.row.zone, listing.row.kind);
+  entry.id = listing.row.id;
+  entry.host = listing.address.host;
+  entry.port = listing.address.port;
+  entry.bornMs = listing.bornMs;
+  entry.cell = listing.row.cell;
+  entry.state = listing.row.state;
+  entry.type = typeOf(listing.row.zone, listing.row.kind);
   entry.cold = entry.bornMs > 0 && now < warmAt(entry.bornMs);
   return entry;
 }
 
 Listing EngineSubset::listingOf(const Entry& entry) const {
   Listing listing;
-  const EngineType& make = makes_[entry.make];
-  listing.row.id = entry.id, listing.row.zone = make.zone, listing.row.kind = make.kind;
-  listing.row.cell = entry.cell, listing.row.state = entry.state;
-  listing.address = {entry.host, entry.port}, listing.bornMs = entry.bornMs;
-  if (entry.rank < base_)
+  const EngineType& type = types_[entry.type];
+  listing.row.id = entry.id;
+  listing.row.zone = type.zone;
+  listing.row.kind = type.kind;
+  listing.row.cell = entry.cell;
+  listing.row.state = entry.state;
+  listing.address = {entry.host, entry.port};
+  listing.bornMs = entry.bornMs;
+  if (entry.rank < baseDepth_)
     listing.row.rank = entry.rank;
   return listing;
 }
 
 EngineSubset::Entry* EngineSubset::find(uint32_t id) {
-  auto at = std::ranges::lower_bound(table_, id, {}, &Entry::id);
-  return at != table_.end() && at->id == id ? &*at : nullptr;
+  auto found = std::ranges::lower_bound(table_, id, {}, &Entry::id);
+  return found != table_.end() && found->id == id ? &*found : nullptr;
 }
 
-void EngineSubset::list(const Entry& entry, int by) {
+void EngineSubset::countListed(const Entry& entry, int by) {
   if (entry.state != EngineState::inService)
     return;
-  listed_ += size_t(by), used_ += entry.inSubset ? size_t(by) : 0;
-  for (size_t which : makes_[entry.make].classes)
-    depths_[which].countListed(by);
+  listed_ += size_t(by);
+  inUse_ += entry.inSubset ? size_t(by) : 0;
+  for (size_t classIndex : types_[entry.type].classes)
+    depths_[classIndex].countListed(by);
 }
 
-void EngineSubset::index(Entry& entry, bool is) {
-  if (!entry.ranked || entry.indexed == is)
+void EngineSubset::setIndexed(Entry& entry, bool indexed) {
+  if (!entry.ranked || entry.indexed == indexed)
     return;
-  entry.indexed = is;
-  auto keep = [is](auto& set, auto key) { is ? void(set.insert(key)) : void(set.erase(key)); };
-  keep(near_, std::pair{entry.rank, entry.id});
+  entry.indexed = indexed;
+  auto update = [indexed](auto& set, auto key) { indexed ? void(set.insert(key)) : void(set.erase(key)); };
+  update(rankedEngines_, std::pair{entry.rank, entry.id});
   if (entry.state != EngineState::inService)
     return;
   if (entry.cold)
-    keep(cold_, std::pair{entry.bornMs, entry.id});
-  if (entry.ejected || (entry.cold && entry.rank >= base_))
+    update(coldEngines_, std::pair{entry.bornMs, entry.id});
+  if (entry.ejected || (entry.cold && entry.rank >= baseDepth_))
     return;
-  for (size_t which : makes_[entry.make].classes)
-    entry.cold ? depths_[which].countCold(is ? 1 : -1) : depths_[which].countUsable(entry.rank, is ? 1 : -1);
+  for (size_t classIndex : types_[entry.type].classes)
+    entry.cold ? depths_[classIndex].countCold(indexed ? 1 : -1)
+               : depths_[classIndex].countUsable(entry.rank, indexed ? 1 : -1);
 }
 
-void EngineSubset::rank(Entry& entry) {
-  int cap = makes_[entry.make].cap;
-  if (entry.ranked || entry.rank >= cap)
+void EngineSubset::computeRank(Entry& entry) {
+  int rankLimit = types_[entry.type].rankLimit;
+  if (entry.ranked || entry.rank >= rankLimit)
     return;
-  entry.rank = rendezvousRank(entry.id, settings_.ordinal, settings_.gatewayCount, cap), ++ranked_;
-  entry.ranked = entry.rank < cap;
+  entry.rank = rendezvousRank(entry.id, settings_.ordinal, settings_.gatewayCount, rankLimit);
+  ++ranksComputed_;
+  entry.ranked = entry.rank < rankLimit;
 }
 
 void EngineSubset::update(Entry& entry, const Listing& listing, double now) {
   Entry next = entryOf(listing, now);
-  bool same = next.host == entry.host && next.port == entry.port && next.bornMs == entry.bornMs;
-  if (same && next.make == entry.make && next.cell == entry.cell && next.state == entry.state)
+  bool sameInstance = next.host == entry.host && next.port == entry.port && next.bornMs == entry.bornMs;
+  if (sameInstance && next.type == entry.type && next.cell == entry.cell && next.state == entry.state)
     return;
-  index(entry, false), list(entry, -1);
-  next.rank = entry.rank, next.ranked = entry.ranked, next.inSubset = entry.inSubset;
-  next.ejected = entry.ejected && same, next.changed = true;
+  setIndexed(entry, false);
+  countListed(entry, -1);
+  next.rank = entry.rank;
+  next.ranked = entry.ranked;
+  next.inSubset = entry.inSubset;
+  next.ejected = entry.ejected && sameInstance;
+  next.changed = true;
   entry = next;
-  list(entry, 1), touched_.push_back(entry.id);
+  countListed(entry, 1);
+  dirty_.push_back(entry.id);
 }
 
 void EngineSubset::remove(Entry& entry, Changes& changes) {
-  index(entry, false), list(entry, -1);
+  setIndexed(entry, false);
+  countListed(entry, -1);
   entry.state = EngineState::removed;
   if (entry.inSubset)
     changes.push_back(listingOf(entry));
 }
 
-// The table moves once an event, as bytes: 1.4 MB at 44,000 engines. A whole list is compared row by row;
-// what is the same costs that comparison and nothing else.
+// The table is merged once per event, which moves 1.4 MB at 44,000 engines. A whole list is compared row by
+// row; an unchanged row costs only that comparison.
 std::vector<Listing> EngineSubset::apply(const ListEvent& event, double now) {
   Changes changes;
-  std::vector<Entry> fresh;
-  bool gone = false;
-  auto drop = [&](Entry& entry) { remove(entry, changes), gone = true; };
-  auto at = table_.begin();
-  for (const Listing* row : lastOfEach(event.rows)) {
+  std::vector<Entry> added;
+  bool anyRemoved = false;
+  auto drop = [&](Entry& entry) {
+    remove(entry, changes);
+    anyRemoved = true;
+  };
+  auto position = table_.begin();
+  for (const Listing* listing : lastOfEach(event.rows)) {
     if (event.whole)
-      for (; at != table_.end() && at->id < row->row.id; ++at)
-        drop(*at);
+      for (; position != table_.end() && position->id < listing->row.id; ++position)
+        drop(*position);
     else
-      at =
-          std::lower_bound(at, table_.end(), row->row.id, [](auto& entry, auto id) { return entry.id < id; });
-    bool known = at != table_.end() && at->id == row->row.id, stays = row->row.state != EngineState::removed;
+      position = std::lower_bound(position, table_.end(), listing->row.id,
+                                  [](auto& entry, auto id) { return entry.id < id; });
+    bool known = position != table_.end() && position->id == listing->row.id;
+    bool stays = listing->row.state != EngineState::removed;
     if (known && stays)
-      update(*at, *row, now);
+      update(*position, *listing, now);
     if (known && !stays)
-      drop(*at);
+      drop(*position);
     if (!known && stays) {
-      Entry& entry = fresh.emplace_back(entryOf(*row, now));
-      entry.changed = true, list(entry, 1), touched_.push_back(entry.id);
+      Entry& entry = added.emplace_back(entryOf(*listing, now));
+      entry.changed = true;
+      countListed(entry, 1);
+      dirty_.push_back(entry.id);
     }
-    at += known;
+    position += known;
   }
   if (event.whole)
-    for (; at != table_.end(); ++at)
-      drop(*at);
+    for (; position != table_.end(); ++position)
+      drop(*position);
 
-  if (gone)
+  if (anyRemoved)
     std::erase_if(table_, [](auto& entry) { return entry.state == EngineState::removed; });
-  if (size_t size = table_.size() + fresh.size(); size > table_.capacity())
+  if (size_t size = table_.size() + added.size(); size > table_.capacity())
     table_.reserve(size + size / 8);
-  auto middle = table_.insert(table_.end(), fresh.begin(), fresh.end());
+  auto middle = table_.insert(table_.end(), added.begin(), added.end());
   std::ranges::inplace_merge(table_, middle, {}, &Entry::id);
-  settle(now, changes);
+  reconcile(now, changes);
   return changes;
 }
 
-// --- what is in view
+// --- membership of the subset
 
-// A class that lost so many engines that its bound doubles needs the places of the others further out: one walk over
-// all 44,000 entries then. What is kept by place shrinks again when a class has grown: by no less than four times,
-// so that a count that goes up and down over a power of two costs nothing.
-void EngineSubset::setCaps() {
+// If a class loses so many engines that its bound doubles, the ranks of further engines are needed: that
+// takes one walk over all 44,000 entries. A limit is lowered only to a quarter or less, so that a count that
+// crosses a power of two back and forth costs nothing.
+void EngineSubset::updateRankLimits() {
   bool raised = false;
   int lowered = settings_.gatewayCount;
-  for (EngineType& make : makes_) {
-    int cap = base_;
-    for (size_t which : make.classes)
-      cap = std::max(cap, depths_[which].maxDepth());
-    if (cap <= make.cap && 4 * cap > make.cap)
+  for (EngineType& type : types_) {
+    int rankLimit = baseDepth_;
+    for (size_t classIndex : type.classes)
+      rankLimit = std::max(rankLimit, depths_[classIndex].maxDepth());
+    if (rankLimit <= type.rankLimit && kLoweringFactor * rankLimit > type.rankLimit)
       continue;
-    cap > make.cap ? raised |= make.cap > 0 : lowered = std::min(lowered, cap);
-    make.cap = cap;
+    // A limit of 0 is that of a type without entries so far.
+    rankLimit > type.rankLimit ? raised |= type.rankLimit > 0 : lowered = std::min(lowered, rankLimit);
+    type.rankLimit = rankLimit;
   }
   std::vector<uint32_t> beyond;
-  for (auto at = near_.lower_bound({lowered, 0}); at != near_.end(); ++at)
-    if (at->first >= makes_[find(at->second)->make].cap)
+  for (auto at = rankedEngines_.lower_bound({lowered, 0}); at != rankedEngines_.end(); ++at)
+    if (at->first >= types_[find(at->second)->type].rankLimit)
       beyond.push_back(at->second);
   for (uint32_t id : beyond) {
     Entry& entry = *find(id);
-    index(entry, false), entry.ranked = false, touched_.push_back(id);
+    setIndexed(entry, false);
+    entry.ranked = false;
+    dirty_.push_back(id);
   }
   if (!raised)
     return;
   for (Entry& entry : table_)
-    if (!entry.ranked && entry.rank < makes_[entry.make].cap)
-      touched_.push_back(entry.id);
+    if (!entry.ranked && entry.rank < types_[entry.type].rankLimit)
+      dirty_.push_back(entry.id);
 }
 
-bool EngineSubset::belongs(const Entry& entry) const {
-  if (entry.rank < base_)
-    return true;  // one that isn't `ranked` has a place beyond all that follows
+// An entry that is not ranked has a rank of at least its type's limit, which no depth exceeds.
+bool EngineSubset::belongsToSubset(const Entry& entry) const {
+  if (entry.rank < baseDepth_)
+    return true;
   if (entry.state != EngineState::inService)
-    return entry.inSubset;  // until it has gone
-  return !entry.cold && std::ranges::any_of(makes_[entry.make].classes, [&](size_t which) {
-    return entry.rank <
-           (entry.inSubset && entry.ejected ? depths_[which].ejectedDepth() : depths_[which].depth());
+    return entry.inSubset;  // stays until it is removed
+  return !entry.cold && std::ranges::any_of(types_[entry.type].classes, [&](size_t classIndex) {
+    return entry.rank < (entry.inSubset && entry.ejected ? depths_[classIndex].ejectedDepth()
+                                                         : depths_[classIndex].depth());
   });
 }
 
-void EngineSubset::tell(Entry& entry, Changes& changes) {
-  bool is = belongs(entry), changed = entry.changed;
+void EngineSubset::report(Entry& entry, Changes& changes) {
+  bool belongs = belongsToSubset(entry);
+  bool changed = entry.changed;
   entry.changed = false;
-  if (is ? entry.inSubset && !changed : !entry.inSubset)
+  if (belongs ? entry.inSubset && !changed : !entry.inSubset)
     return;
   if (entry.state == EngineState::inService)
-    used_ += size_t(int(is) - int(entry.inSubset));
-  entry.inSubset = is;
-  Listing& told = changes.emplace_back(listingOf(entry));
-  if (is)
+    inUse_ += size_t(int(belongs) - int(entry.inSubset));
+  entry.inSubset = belongs;
+  Listing& listing = changes.emplace_back(listingOf(entry));
+  if (belongs)
     return;
-  told.row.state = EngineState::removed;
-  // Nobody looks at it any more. No class is short of engines as far out as that: none comes to count on it.
-  if (entry.ejected)
-    index(entry, false), entry.ejected = false, index(entry, true);
+  listing.row.state = EngineState::removed;
+  // Outside the subset nothing observes the engine, so the ejection is dropped. No class is short of engines
+  // at that depth, so none relies on it meanwhile.
+  if (entry.ejected) {
+    setIndexed(entry, false);
+    entry.ejected = false;
+    setIndexed(entry, true);
+  }
 }
 
-void EngineSubset::settle(double now, Changes& changes) {
-  now_ = now, due_ = false;
-  setCaps();
-  for (uint32_t id : touched_)
-    if (Entry* entry = find(id))
-      rank(*entry), index(*entry, true);
-  while (!cold_.empty() && warmAt(cold_.begin()->first) <= now) {
-    Entry& entry = *find(cold_.begin()->second);
-    index(entry, false), entry.cold = false, index(entry, true);
-    touched_.push_back(entry.id);
+void EngineSubset::reconcile(double now, Changes& changes) {
+  now_ = now;
+  tickDue_ = false;
+  updateRankLimits();
+  for (uint32_t id : dirty_)
+    if (Entry* entry = find(id)) {
+      computeRank(*entry);
+      setIndexed(*entry, true);
+    }
+  while (!coldEngines_.empty() && warmAt(coldEngines_.begin()->first) <= now) {
+    Entry& entry = *find(coldEngines_.begin()->second);
+    setIndexed(entry, false);
+    entry.cold = false;
+    setIndexed(entry, true);
+    dirty_.push_back(entry.id);
   }
-  for (SubsetDepth& reach : depths_) {
-    int from = reach.depth(), to = reach.ejectedDepth();
-    reach.update(now);
-    if (from == reach.depth() && to == reach.ejectedDepth())
+  for (SubsetDepth& depth : depths_) {
+    int from = depth.depth();
+    int to = depth.ejectedDepth();
+    depth.update(now);
+    if (from == depth.depth() && to == depth.ejectedDepth())
       continue;
-    from = std::min(from, reach.depth()), to = std::max(to, reach.depth());
-    for (auto at = near_.lower_bound({from, 0}); at != near_.end() && at->first < to; ++at)
-      touched_.push_back(at->second);
+    from = std::min(from, depth.depth());
+    to = std::max(to, depth.depth());
+    for (auto at = rankedEngines_.lower_bound({from, 0}); at != rankedEngines_.end() && at->first < to; ++at)
+      dirty_.push_back(at->second);
   }
   for (size_t i = 0; i < depths_.size(); ++i)
     if (depths_[i].isServed())
-      told_[i] = false;
-  std::ranges::sort(touched_);
-  touched_.erase(std::unique(touched_.begin(), touched_.end()), touched_.end());
-  for (uint32_t id : touched_)
+      warned_[i] = false;
+  std::ranges::sort(dirty_);
+  dirty_.erase(std::unique(dirty_.begin(), dirty_.end()), dirty_.end());
+  for (uint32_t id : dirty_)
     if (Entry* entry = find(id))
-      tell(*entry, changes);
-  touched_.clear();
-  if (touched_.capacity() > 4096)
-    touched_.shrink_to_fit();  // a whole list came
+      report(*entry, changes);
+  dirty_.clear();
+  if (dirty_.capacity() > kMaxIdleCapacity)
+    dirty_.shrink_to_fit();
 }
 
-void EngineSubset::setEjected(uint32_t engine, bool is) {
+void EngineSubset::setEjected(uint32_t engine, bool ejected) {
   Entry* entry = find(engine);
-  if (!entry || !entry->inSubset || entry->ejected == is)
+  if (!entry || !entry->inSubset || entry->ejected == ejected)
     return;
-  index(*entry, false), entry->ejected = is, index(*entry, true);
-  due_ = true;
+  setIndexed(*entry, false);
+  entry->ejected = ejected;
+  setIndexed(*entry, true);
+  tickDue_ = true;
 }
 
 std::vector<Listing> EngineSubset::tick(double now) {
   Changes changes;
-  settle(now, changes);
+  reconcile(now, changes);
   return changes;
 }
 
 double EngineSubset::nextWakeUp() const {
-  if (due_)
+  if (tickDue_)
     return now_;
-  double at = cold_.empty() ? HUGE_VAL : warmAt(cold_.begin()->first);
-  for (auto& reach : depths_)
-    at = std::min(at, reach.nextWakeUp());
-  return at;
+  double wakeUp = coldEngines_.empty() ? HUGE_VAL : warmAt(coldEngines_.begin()->first);
+  for (auto& depth : depths_)
+    wakeUp = std::min(wakeUp, depth.nextWakeUp());
+  return wakeUp;
 }
 
-// --- what is said
+// --- warnings and statistics
 std::vector<std::string> EngineSubset::takeWarnings() {
   std::vector<std::string> lines;
   for (size_t i = 0; i < depths_.size(); ++i) {
-    SubsetDepth& reach = depths_[i];
-    if (reach.listed() == 0 || reach.isServed() || told_[i])
+    SubsetDepth& depth = depths_[i];
+    if (depth.listed() == 0 || depth.isServed() || warned_[i])
       continue;
-    told_[i] = true;
-    int rest = 0, cold = 0;
-    for (auto& [place, id] : near_) {
+    warned_[i] = true;
+    int ejected = 0;
+    int cold = 0;
+    for (auto& [rank, id] : rankedEngines_) {
       const Entry& entry = *find(id);
-      auto& classes = makes_[entry.make].classes;
+      auto& classes = types_[entry.type].classes;
       if (entry.state != EngineState::inService || std::ranges::find(classes, i) == classes.end())
         continue;
-      rest += entry.ejected, cold += entry.cold && !entry.inSubset;
+      ejected += entry.ejected;
+      cold += entry.cold && !entry.inSubset;
     }
     lines.push_back(describe(
         ErrorKind::noEngineInSubset,
-        "none of its " + std::to_string(reach.listed()) + " engines can be used: " + std::to_string(rest) +
+        "none of its " + std::to_string(depth.listed()) + " engines can be used: " + std::to_string(ejected) +
             " in view rest, " + std::to_string(cold) +
             " start and are other dispatchers' to warm; looked as far as place " +
-            std::to_string(reach.maxDepth()) + " of " + std::to_string(settings_.gatewayCount),
-        "class " + reach.name()));
+            std::to_string(depth.maxDepth()) + " of " + std::to_string(settings_.gatewayCount),
+        "class " + depth.name()));
   }
   return lines;
 }
 
 SubsetStatistics EngineSubset::statistics() const {
-  SubsetStatistics figures{listed_, used_, base_, ranked_, near_.size()};
-  for (auto& reach : depths_)
-    figures.depth = std::max(figures.depth, reach.depth());
-  return figures;
+  SubsetStatistics statistics{listed_, inUse_, baseDepth_, ranksComputed_, rankedEngines_.size()};
+  for (auto& depth : depths_)
+    statistics.depth = std::max(statistics.depth, depth.depth());
+  return statistics;
 }
 
 }  // namespace elmcleat::view
--- a/src/view/engine_subset.h
+++ b/src/view/engine_subset.h
@@ -1,14 +1,17 @@
-// Which engines this dispatcher uses, of a list that may be far longer. Pure: told the settings, its ordinal, the list
-// and the time; the same in every dispatcher, so nothing is agreed upon.
+// EngineSubset: the bounded subset of engines that this dispatcher uses, out of a list that may be far
+// longer. No I/O; callers pass the settings, the ordinal, the list and the time. Dispatchers compute their
+// subsets without coordination.
 //
-// For each engine all dispatchers stand in an order that follows from its id and their ordinals alone (rendezvous
-// hash by engine). The first `usersPerEngine` of them use it; a dispatcher's place in that order is what its module takes
-// turns by at a cold engine. Whoever's usable part of a class's engines is too small takes more of the same order: a
-// greater place is enough then, up to a bound. Cold engines are used by the first `usersPerEngine` alone, whatever happens:
-// their part is reckoned by that number.
+// Rendezvous (highest random weight) hashing gives each dispatcher a rank at each engine, from the engine's
+// id and the ordinals alone. A dispatcher uses the engines at which its rank is below the subset depth,
+// normally `usersPerEngine`. Its module is given the rank too: dispatchers send to a cold engine in the order
+// of their ranks. If too few engines of a class are usable, the depth grows up to a bound (see SubsetDepth).
+// A cold engine is used by its first `usersPerEngine` dispatchers only, whatever the depth, because their
+// shares of it are computed from that number.
 //
-// Invariant: whatever lists two dispatchers have, an engine has `usersPerEngine` users, and in trouble `maxUsersPerEngine` (or, of a
-// class with few engines, as many as its classes' `minEnginesPerClass` needs: see maxDepth()).
+// Invariant: even if dispatchers have different lists, an engine has `usersPerEngine` users, and while
+// subsets are widened at most `maxUsersPerEngine`, or as many as `minEnginesPerClass` requires for its
+// classes if they have few engines (see SubsetDepth::maxDepth()).
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -26,58 +29,67 @@
 namespace elmcleat::view {
 
 struct SubsetStatistics {
-  size_t listed = 0, inUse = 0;  // engines in service; in view
-  int depth = 0;                 // the greatest place, and one, with which an engine is in view
-  uint64_t ranksComputed =
-      0;                     // orders worked out since the start: grows with what changes, not with the list
-  size_t rankedEngines = 0;  // engines whose place is known, as some class may come to need them
+  size_t listed = 0;           // engines in service
+  size_t inUse = 0;            // engines in service and in the subset
+  int depth = 0;               // the largest of all classes
+  uint64_t ranksComputed = 0;  // since the start; grows with the changes of the list, not with its length
+  size_t rankedEngines = 0;    // engines whose rank is known, because some class may come to need them
 };
 
 class EngineSubset {
  public:
-  // `settings`: as the platform hands them over; throws Error if they don't say which of how many this is.
+  // `settings`: as received from the platform. Throws Error if they lack this dispatcher's ordinal or the
+  // ordinal is out of range.
   EngineSubset(const SubsetSettings& subsetSettings, const Settings& settings);
 
-  // What the module is told in place of those settings: the users of an engine in place of all dispatchers (and quotas
-  // by the same part), so that what it reckons by N is right for each engine that it sees.
+  // The settings for the module in place of the platform's: it sees `usersPerEngine` as the number of
+  // dispatchers, and quotas reduced by the same factor, so that whatever it computes per dispatcher is right
+  // for the engines it sees.
   Settings localSettings() const;
 
-  // Time is Unix seconds, as starts are in the list. Each call tells what changes for this dispatcher: engines in view,
-  // as the list has them, with its place among their users (none: they are in view because it is wide), and those
-  // that leave it (state: gone). A whole list
-  // that changes nothing tells nothing.
+  // Times are Unix seconds, like the start times in the list. Each call returns what changes for this
+  // dispatcher: engines in the subset as listed, with its rank (no rank: only in the subset because it is
+  // widened), and engines that leave the subset, in the state `removed`. A whole list without a change
+  // returns nothing.
   std::vector<Listing> apply(const ListEvent& event, double now);
-  void setEjected(uint32_t engine, bool is);  // the module has found an engine in view unfit, or fit again
-  std::vector<Listing> tick(double now);      // at nextWakeUp(), and after setEjected()
-  double nextWakeUp() const;                  // HUGE_VAL: not before something is told
+  // Reports the module's outlier detection. Takes effect in tick().
+  void setEjected(uint32_t engine, bool ejected);
+  std::vector<Listing> tick(double now);  // call at nextWakeUp(), and after setEjected()
+  double nextWakeUp() const;              // HUGE_VAL: only after another call
 
-  // A class that can't be served here although the list has engines for it: told once until it can.
+  // Log lines on classes that cannot be served although the list has engines for them. Each class is reported
+  // once until it can be served again.
   std::vector<std::string> takeWarnings();
   SubsetStatistics statistics() const;
 
  private:
-  struct EngineType {  // what engines of one zone and kind have in common
-    std::string zone, kind;
-    std::vector<size_t> classes;  // that they serve, of reaches_
-    int cap = 0;                  // to which their places are known
+  struct EngineType {  // the zone and kind of engines
+    std::string zone;
+    std::string kind;
+    std::vector<size_t> classes;  // that these engines serve, as indices into depths_
+    int rankLimit = 0;            // ranks are computed up to it
   };
-  struct Entry {  // an engine of the list, in view or not
+  struct Entry {  // an engine of the list, in the subset or not
     int64_t bornMs = 0;
-    uint32_t id = 0, host = 0;
+    uint32_t id = 0;
+    uint32_t host = 0;
     int cell = 0;
-    int rank = 0;  // if it is not `ranked`: no less than that
-    uint16_t port = 0, make = 0;
+    int rank = 0;  // a lower bound if it is not `ranked`
+    uint16_t port = 0;
+    uint16_t type = 0;  // index into types_
     EngineState state : 3 = EngineState::inService;
-    bool ranked : 1 = false;    // its place is known
-    bool indexed : 1 = false;   // stands in near_ and is counted
-    bool inSubset : 1 = false;  // as told
-    bool ejected : 1 = false, cold : 1 = false;
-    bool changed : 1 = false;  // since it was told
+    bool ranked : 1 = false;    // the rank is known
+    bool indexed : 1 = false;   // is in rankedEngines_ and counted in depths_
+    bool inSubset : 1 = false;  // as last reported
+    bool ejected : 1 = false;
+    bool cold : 1 = false;
+    bool changed : 1 = false;  // since it was last reported
   };
-  static_assert(sizeof(Entry) == 32);  // with what vectors keep in reserve and near_ well within 64 an engine
+  // Bounds the memory: with the reserve of vectors and rankedEngines_ it is well within 64 bytes an engine.
+  static_assert(sizeof(Entry) == 32);
   using Changes = std::vector<Listing>;
 
-  uint16_t makeOf(const std::string& zone, const std::string& kind);
+  uint16_t typeOf(const std::string& zone, const std::string& kind);
   Entry entryOf(const Listing& listing, double now);
   Listing listingOf(const Entry& entry) const;
   Entry* find(uint32_t id);
@@ -85,28 +97,29 @@
 
   void update(Entry& entry, const Listing& listing, double now);
   void remove(Entry& entry, Changes& changes);
-  void list(const Entry& entry, int by);  // count it among those in service, or no longer
-  void index(Entry& entry, bool is);      // what is kept by place
-  void rank(Entry& entry);                // as far as its make's cap asks for
-  void setCaps();
-  bool belongs(const Entry& entry) const;  // in view
-  void tell(Entry& entry, Changes& changes);
-  void settle(double now, Changes& changes);
+  void countListed(const Entry& entry, int by);  // in (1) or out (-1) of the engines in service
+  void setIndexed(Entry& entry, bool indexed);   // in rankedEngines_, coldEngines_ and depths_
+  void computeRank(Entry& entry);                // up to the limit of its type
+  void updateRankLimits();
+  bool belongsToSubset(const Entry& entry) const;
+  void report(Entry& entry, Changes& changes);  // if its membership or its listing has changed
+  void reconcile(double now, Changes& changes);
 
   Settings settings_;
-  int base_;  // the first so many use an engine
-  std::vector<SubsetDepth> depths_;
-  std::vector<EngineType> makes_;
-  std::unordered_map<std::string, uint16_t> makeByName_;  // zone, line end, kind
-  std::vector<Entry> table_;                              // by id
-  std::set<std::pair<int, uint32_t>> near_;               // place and id: some cap / N of the list
-  std::set<std::pair<int64_t, uint32_t>> cold_;           // start and id, of those in near_
-  std::vector<uint32_t> touched_;                         // to be looked at by settle()
-  std::vector<bool> told_;                                // by class: that it can't be served
-  size_t listed_ = 0, used_ = 0;
-  uint64_t ranked_ = 0;
+  int baseDepth_;                    // usersPerEngine, or the number of dispatchers if that is smaller
+  std::vector<SubsetDepth> depths_;  // by class
+  std::vector<EngineType> types_;
+  std::unordered_map<std::string, uint16_t> typeByName_;  // key: zone, line feed, kind
+  std::vector<Entry> table_;                              // sorted by id
+  std::set<std::pair<int, uint32_t>> rankedEngines_;      // rank and id: about rankLimit / N of the list
+  std::set<std::pair<int64_t, uint32_t>> coldEngines_;    // start time and id, of those in rankedEngines_
+  std::vector<uint32_t> dirty_;                           // ids of engines to check in reconcile()
+  std::vector<bool> warned_;                              // by class
+  size_t listed_ = 0;
+  size_t inUse_ = 0;
+  uint64_t ranksComputed_ = 0;
   double now_ = 0;
-  bool due_ = false;  // tick() has something to do at once
+  bool tickDue_ = false;  // tick() has work to do at once
 };
 
 }  // namespace elmcleat::view
--- a/src/view/rendezvous_rank.cpp
+++ b/src/view/rendezvous_rank.cpp
@@ -12,16 +12,16 @@
   return XXH3_64bits(&pair, sizeof pair);
 }
 
-int rendezvousRank(uint32_t engine, int ordinal, int dispatchers, int cap) {
-  constexpr int kAtOnce = 32;  // between looks at the cap: the inner loop then has no branch
+int rendezvousRank(uint32_t engine, int ordinal, int dispatchers, int limit) {
+  constexpr int kBlockSize = 32;  // ordinals between checks of the limit: the inner loop has no branch
   const uint64_t own = rendezvousWeight(engine, uint32_t(ordinal));
   int before = 0;
-  for (int from = 0; from < dispatchers && before < cap; from += kAtOnce)
-    for (int other = from, end = std::min(from + kAtOnce, dispatchers); other < end; ++other) {
+  for (int begin = 0; begin < dispatchers && before < limit; begin += kBlockSize)
+    for (int other = begin, end = std::min(begin + kBlockSize, dispatchers); other < end; ++other) {
       uint64_t weight = rendezvousWeight(engine, uint32_t(other));
       before += (weight > own) | ((weight == own) & (other < ordinal));
     }
-  return std::min(before, cap);
+  return std::min(before, limit);
 }
 
 }  // namespace elmcleat::view
--- a/src/view/rendezvous_rank.h
+++ b/src/view/rendezvous_rank.h
@@ -1,16 +1,16 @@
-// The order in which dispatchers stand before an engine: rendezvous hash by engine. It follows from the
-// engine's id, the ordinals and their number alone, and must stay the same in all versions that run side by
-// side.
+// Rendezvous (highest random weight) hashing: each engine ranks all dispatchers. A rank depends only on the
+// engine's id, the ordinals and their number, and must be the same in all versions that run at the same time.
 #pragma once
 #include <cstdint>
 
 namespace elmcleat::view {
 
-// The greater, the further in front. 64 bits: a tie is next to impossible, and goes to the smaller ordinal.
+// The greater weight ranks first. In 64 bits a tie is next to impossible; it goes to the smaller ordinal.
 uint64_t rendezvousWeight(uint32_t engine, uint32_t ordinal);
 
-// How many of the ordinals 0 to `dispatchers` - 1 stand before `ordinal`; `cap` if it is that many or more.
-// It counts only until it knows: `cap` x (1 + ln(`dispatchers` / `cap`)) weights in the mean of all ordinals.
-int rendezvousRank(uint32_t engine, int ordinal, int dispatchers, int cap);
+// The rank of `ordinal` among the ordinals 0 to `dispatchers` - 1: the number of those that rank before it,
+// or `limit` if there are that many or more. Stops at the limit: averaged over all ordinals it takes `limit`
+// x (1 + ln(`dispatchers` / `limit`)) weights.
+int rendezvousRank(uint32_t engine, int ordinal, int dispatchers, int limit);
 
 }  // namespace elmcleat::view
--- a/src/view/subset_depth.h
+++ b/src/view/subset_depth.h
@@ -1,11 +1,11 @@
-// How far the view goes for one class: the commands that may run in the same zones and on the same kinds of
-// engines.
+// The depth of the engine subset for one class: the commands that may run in the same zones and on the same
+// kinds of engines. An engine is in the subset if this dispatcher's rank at it is below the depth.
 //
-// Usable engines (in service, warm, not found unfit) are counted by this dispatcher's place among their
-// users. The reach is the least place, and one, with which enough of them are in view. It grows as soon as
-// more is needed, and shrinks by an eighth a second once less has done for a while. It never goes beyond the
-// last usable one: where all of a class are cold or unfit there is nothing to widen for. Nothing here walks
-// engines.
+// Usable engines (in service, warm, not ejected) are counted by this dispatcher's rank. The depth is the
+// smallest one with which enough of them are in the subset. It grows as soon as more are needed, and shrinks
+// by an eighth per second once a smaller depth has sufficed for narrowingDelay. Beyond usersPerEngine it
+// never exceeds the rank of the last usable engine by more than one: where all engines of a class are cold or
+// ejected, widening would gain nothing. Nothing here iterates over engines.
 #pragma once
 #include <cmath>
 #include <string>
@@ -17,7 +17,7 @@
 
 class SubsetDepth {
  public:
-  // `dispatchers`: all there are. Empty zones or kinds: any.
+  // `dispatchers`: their total number. Empty `zones` or `kinds`: any.
   SubsetDepth(const SubsetSettings& settings, int dispatchers, std::string name,
               std::vector<std::string> zones, std::vector<std::string> kinds);
 
@@ -27,29 +27,36 @@
     return zones_ == zones && kinds_ == kinds;
   }
 
-  void countListed(int by) { listed_ += by; }    // engines in service come (1) or go (-1), wherever they are;
-  void countUsable(int place, int by);           // those that are usable, by place;
-  void countCold(int by) { coldInView_ += by; }  // those that are cold and in the base view
+  // Count an engine in (1) or out (-1):
+  void countListed(int by) { listed_ += by; }      // in service, whatever its rank
+  void countUsable(int rank, int by);              // usable
+  void countCold(int by) { coldInSubset_ += by; }  // cold, with a rank below usersPerEngine
   int listed() const { return listed_; }
 
-  int maxDepth() const;         // over which the reach never goes
-  int requiredEngines() const;  // usable engines that have to be in view, if there are so many
+  int maxDepth() const;         // bound of the depth
+  int requiredEngines() const;  // usable engines that the subset needs, if there are as many
   int depth() const { return depth_; }
-  // While there is too little, engines in view that were found unfit are kept as far as this.
+  // The depth for ejected engines that are in the subset already. They are kept up to maxDepth() while too
+  // few engines are usable.
   int ejectedDepth() const { return ejectedDepth_; }
   void update(double now);
-  double nextWakeUp() const { return narrowsAt_; }  // HUGE_VAL: not by itself
-  bool isServed() const { return usableInView_ + coldInView_ > 0; }
+  double nextWakeUp() const { return narrowsAt_; }  // when update() is due; HUGE_VAL: only after a change
+  bool isServed() const { return usableInSubset_ + coldInSubset_ > 0; }
 
  private:
   SubsetSettings settings_;
-  int dispatchers_, base_;
+  int dispatchers_;
+  int baseDepth_;  // usersPerEngine, or the number of dispatchers if that is smaller
   std::string name_;
-  std::vector<std::string> zones_, kinds_;  // sorted
-  std::vector<int> usable_;                 // by place, as far as any is known
-  int listed_ = 0, coldInView_ = 0, usableInView_ = 0;
-  int depth_, ejectedDepth_;
-  double narrowsAt_ = HUGE_VAL;
+  std::vector<std::string> zones_;  // sorted
+  std::vector<std::string> kinds_;  // sorted
+  std::vector<int> usableByRank_;   // up to the largest known rank
+  int listed_ = 0;
+  int coldInSubset_ = 0;
+  int usableInSubset_ = 0;
+  int depth_;
+  int ejectedDepth_;
+  double narrowsAt_ = HUGE_VAL;  // HUGE_VAL: not narrowing
 };
 
 }  // namespace elmcleat::view
--- a/src/view/subset_settings.cpp
+++ b/src/view/subset_settings.cpp
@@ -5,10 +5,11 @@
 namespace elmcleat::view {
 namespace {
 
-struct Told {
-  const char *name, *remedy;
+struct ErrorText {
+  const char* name;
+  const char* remedy;
 };
-constexpr std::array<Told, kErrorKinds> kTold = {{
+constexpr std::array<ErrorText, kErrorKinds> kErrorTexts = {{
     {"ordinal-missing",
      "let the platform set settings.ordinal, another one in each dispatcher; or take the section view out of "
      "the "
@@ -22,7 +23,8 @@
      "view.users"},
 }};
 
-std::string number(double value) {  // without the zeros that std::to_string adds
+// Without the trailing zeros of std::to_string.
+std::string formatNumber(double value) {
   std::string text = std::to_string(value);
   text.erase(text.find_last_not_of('0') + 1);
   if (text.back() == '.')
@@ -34,29 +36,29 @@
 
 std::vector<ValidationError> validate(const SubsetSettings& settings) {
   std::vector<ValidationError> errors;
-  auto need = [&](bool sound, const char* key, double found, const std::string& allowed) {
-    if (!sound)
-      errors.push_back({key, "found " + number(found) + "; allowed is " + allowed});
+  auto require = [&](bool valid, const char* key, double found, const std::string& allowed) {
+    if (!valid)
+      errors.push_back({key, "found " + formatNumber(found) + "; allowed is " + allowed});
   };
-  need(settings.usersPerEngine >= 1, "users", settings.usersPerEngine, "1 or more");
-  need(settings.maxUsersPerEngine >= settings.usersPerEngine, "mostUsers", settings.maxUsersPerEngine,
-       "users or more, which is " + std::to_string(settings.usersPerEngine));
-  need(settings.minEnginesPerClass >= 1, "least", settings.minEnginesPerClass, "1 or more");
-  need(settings.minUsableShare >= 0 && settings.minUsableShare <= 1, "usablePart", settings.minUsableShare,
-       "0 to 1");
-  need(settings.narrowingDelay > 0, "narrowAfterS", settings.narrowingDelay, "more than 0");
+  require(settings.usersPerEngine >= 1, "users", settings.usersPerEngine, "1 or more");
+  require(settings.maxUsersPerEngine >= settings.usersPerEngine, "mostUsers", settings.maxUsersPerEngine,
+          "users or more, which is " + std::to_string(settings.usersPerEngine));
+  require(settings.minEnginesPerClass >= 1, "least", settings.minEnginesPerClass, "1 or more");
+  require(settings.minUsableShare >= 0 && settings.minUsableShare <= 1, "usablePart", settings.minUsableShare,
+          "0 to 1");
+  require(settings.narrowingDelay > 0, "narrowAfterS", settings.narrowingDelay, "more than 0");
   return errors;
 }
 
-const char* nameOf(ErrorKind errorKind) { return kTold[static_cast<size_t>(errorKind)].name; }
-const char* remedyOf(ErrorKind errorKind) { return kTold[static_cast<size_t>(errorKind)].remedy; }
+const char* nameOf(ErrorKind errorKind) { return kErrorTexts[static_cast<size_t>(errorKind)].name; }
+const char* remedyOf(ErrorKind errorKind) { return kErrorTexts[static_cast<size_t>(errorKind)].remedy; }
 
 std::string describe(ErrorKind errorKind, const std::string& what, const std::string& subject) {
   return "view: " + std::string(nameOf(errorKind)) + ": " + subject + ": " + what + "; " +
          remedyOf(errorKind);
 }
 
-Error::Error(ErrorKind errorKind, const std::string& what, const std::string& whom)
-    : std::runtime_error(describe(errorKind, what, whom)), kind(errorKind), subject(whom) {}
+Error::Error(ErrorKind errorKind, const std::string& what, const std::string& errorSubject)
+    : std::runtime_error(describe(errorKind, what, errorSubject)), kind(errorKind), subject(errorSubject) {}
 
 }  // namespace elmcleat::view
