--- a/src/shared/available_quota.h
+++ b/src/shared/available_quota.h
@@ -1,19 +1,19 @@
-// What a member may use of an amount of the whole fleet, with the ends of what it borrowed.
+// AvailableQuota: the part of a fleet-wide quota that a member may use at a given time.
 #pragma once
 #include <utility>
 #include <vector>
 
 namespace elmcleat::shared {
 
-// What may be used, as another thread needs it: it holds by itself, however long nobody renews it.
+// A snapshot for other threads. It stays valid without renewal, because borrowed parts carry their expiry.
 struct AvailableQuota {
-  double own = 0;                                   // without an end
-  std::vector<std::pair<double, double>> borrowed;  // until when, how much
+  double own = 0;                                   // does not expire
+  std::vector<std::pair<double, double>> borrowed;  // expiry time and units of each part
   double availableAt(double now) const {
-    double all = own;
+    double total = own;
     for (auto& [until, units] : borrowed)
-      all += now < until ? units : 0;
-    return all;
+      total += now < until ? units : 0;
+    return total;
   }
 };
 
--- a/src/shared/lease_codec.h
+++ b/src/shared/lease_codec.h
@@ -1,4 +1,5 @@
-// Letters as bytes (wire.proto). No I/O; bounded by what carries them; what can't be read is none.
+// LeaseCodec: encodes lease messages as Protocol Buffers (wire.proto). No I/O. The size of messages is
+// bounded by the transport.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,16 +13,16 @@
 
 class LeaseCodec {
  public:
-  // The names of the amounts, in the order of the terms, and what they are in all.
-  LeaseCodec(std::vector<std::string> names, std::vector<double> amounts);
+  // Names and fleet-wide totals of the quotas, in the order of LeaseSettings::quotas.
+  LeaseCodec(std::vector<std::string> names, std::vector<double> totals);
   std::string encode(const LeaseMessage& message) const;
-  // Lines about amounts that are not known here, or are others here, are left out.
+  // Items on quotas that are unknown here, or have another total, are left out. nullopt: not a valid message.
   std::optional<LeaseMessage> decode(std::string_view bytes, int from, int to) const;
 
  private:
   std::vector<std::string> names_;
-  std::vector<double> amounts_;
-  std::unordered_map<std::string, uint32_t> places_;
+  std::vector<double> totals_;
+  std::unordered_map<std::string, uint32_t> indexByName_;
 };
 
 }  // namespace elmcleat::shared
--- a/src/shared/lease_manager.cpp
+++ b/src/shared/lease_manager.cpp
@@ -6,14 +6,15 @@
 namespace elmcleat::shared {
 namespace {
 
-constexpr double kTick = 0.1;       // seconds between two looks at what is missing
-constexpr double kMargin = 1.02;    // what is wanted is met a little above
-constexpr double kRenew = 0.5;      // part of a loan's length after which it is asked for again
-constexpr double kAnswer = 0.4;     // seconds after which an ask without an answer may be followed by another
-constexpr double kKnown = 1;        // seconds for which a lender's word on what it has left counts
-constexpr double kPauseMost = 0.8;  // seconds between asks while nobody gives: it doubles up to that
-constexpr size_t kReachLeast = 2, kReachMost = 32;
-constexpr double kCrumb = 1e-9;  // of an amount: less is nothing
+constexpr double kTickInterval = 0.1;    // seconds
+constexpr double kDemandMargin = 1.02;   // factor: slightly more than the demand is kept and requested
+constexpr double kRenewalPoint = 0.5;    // part of leaseDuration after which a lease is renewed
+constexpr double kRequestTimeout = 0.4;  // seconds after which an unanswered request may be repeated
+constexpr double kLendableLifetime = 1;  // seconds for which a lender's report of lendable units is used
+constexpr double kMaxBackoff = 0.8;      // seconds between requests while none is granted
+constexpr size_t kMinFanout = 2;         // members asked per tick
+constexpr size_t kMaxFanout = 32;
+constexpr double kNegligibleShare = 1e-9;  // of a member's own quota: less counts as nothing
 
 }  // namespace
 
@@ -28,250 +29,282 @@
     errors.push_back({"keptPart", "must be from 0 to 1"});
   if (!(settings.leaseDuration > 0))
     errors.push_back({"loanS", "must be above 0"});
-  if (!(settings.guardTime >= 0 && 2 * settings.guardTime < settings.leaseDuration * kRenew))
+  if (!(settings.guardTime >= 0 && 2 * settings.guardTime < settings.leaseDuration * kRenewalPoint))
     errors.push_back({"guardS", "must be below a quarter of loanS: no loan could be renewed before its end"});
   return errors;
 }
 
-LeaseManager::LeaseManager(const LeaseSettings& settings, int self, uint64_t life, uint64_t seed, double now)
+LeaseManager::LeaseManager(const LeaseSettings& settings, int self, uint64_t instance, uint64_t seed,
+                           double now)
     : settings_(settings),
       self_(self),
-      life_(life),
-      chance_(seed),
-      nextTick_(now + kTick * chance_.uniform()),
+      instance_(instance),
+      random_(seed),
+      nextTick_(now + kTickInterval * random_.uniform()),
       lendsFrom_(now + settings.leaseDuration + 2 * settings.guardTime),
-      nextAsk_(now),
+      nextRequest_(now),
       quotas_(settings.quotas.size()),
-      there_(size_t(settings.memberCount), true) {}
+      alive_(size_t(settings.memberCount), true) {}
 
-void LeaseManager::setDemand(size_t amount, double units) { quotas_[amount].want = std::max(units, 0.0); }
+void LeaseManager::setDemand(size_t quota, double units) { quotas_[quota].demand = std::max(units, 0.0); }
 
-// --- what there is
-double LeaseManager::lentOut(size_t amount, double now) const {
-  double all = 0;
-  for (auto& [borrower, loans] : quotas_[amount].lent) {
-    double most = 0;
-    for (auto& loan : loans)
-      if (now < loan.until)
-        most = std::max(most, loan.units);
-    all += most;
+// --- quotas
+
+// Of the leases to one borrower only the largest counts.
+double LeaseManager::grantedUnits(size_t quota, double now) const {
+  double total = 0;
+  for (auto& [borrower, leases] : quotas_[quota].granted) {
+    double largest = 0;
+    for (auto& lease : leases)
+      if (now < lease.until)
+        largest = std::max(largest, lease.units);
+    total += largest;
   }
-  return all;
+  return total;
 }
 
-double LeaseManager::unitsOf(const std::vector<BorrowedLease>& loans, size_t amount, double now) {
-  double most = 0;
-  for (auto& loan : loans)
-    if (now < loan.until)
-      most = std::max(most, loan.units[amount]);
-  return most;
+// Of the leases from one lender only the largest counts.
+double LeaseManager::borrowedUnits(const std::vector<BorrowedLease>& leases, size_t quota, double now) {
+  double largest = 0;
+  for (auto& lease : leases)
+    if (now < lease.until)
+      largest = std::max(largest, lease.units[quota]);
+  return largest;
 }
 
-// The greatest of the loans of one lender, as steps that add up: each adds what those that last longer leave out.
-AvailableQuota LeaseManager::availableQuota(size_t amount, double now) const {
-  double own = settings_.ownQuota(amount), kept = own * settings_.reservedShare;
-  AvailableQuota parts{mayLend(now) ? own - lentOut(amount, now) : kept, {}};
-  for (auto& [lender, loans] : borrowed_) {
-    double most = 0;
-    for (auto loan = loans.rbegin(); loan != loans.rend(); ++loan) {  // later asked for, longer lasting
-      if (now >= loan->until || loan->units[amount] <= most)
+// The maximum over the leases of each lender as parts that add up: each lease adds what later expiring ones
+// lack.
+AvailableQuota LeaseManager::availableQuota(size_t quota, double now) const {
+  double own = settings_.ownQuota(quota);
+  double reserved = own * settings_.reservedShare;
+  AvailableQuota available{mayLend(now) ? own - grantedUnits(quota, now) : reserved, {}};
+  for (auto& [lender, leases] : borrowed_) {
+    double largest = 0;
+    for (auto lease = leases.rbegin(); lease != leases.rend(); ++lease) {  // the latest expiry first
+      if (now >= lease->until || lease->units[quota] <= largest)
         continue;
-      parts.borrowed.push_back({loan->until, loan->units[amount] - most});
-      most = loan->units[amount];
+      available.borrowed.push_back({lease->until, lease->units[quota] - largest});
+      largest = lease->units[quota];
     }
   }
-  return parts;
+  return available;
 }
 
-// What this member has no use for. Who borrows lends nothing.
-double LeaseManager::spare(size_t amount, double now) const {
+// Own units that this member has no use for. A member that borrows has none.
+double LeaseManager::lendableUnits(size_t quota, double now) const {
   if (!mayLend(now))
     return 0;
-  double own = settings_.ownQuota(amount), lent = lentOut(amount, now);
-  double free = own - lent - std::max(quotas_[amount].want * kMargin, own * settings_.reservedShare);
-  return free > kCrumb * own ? free : 0;
+  double own = settings_.ownQuota(quota);
+  double granted = grantedUnits(quota, now);
+  double unused =
+      own - granted - std::max(quotas_[quota].demand * kDemandMargin, own * settings_.reservedShare);
+  return unused > kNegligibleShare * own ? unused : 0;
 }
 
-double LeaseManager::missing(size_t amount, double now) const {
-  double wanted = std::min(quotas_[amount].want * kMargin, settings_.quotas[amount]);
-  return std::max(wanted - available(amount, now), 0.0);
+double LeaseManager::missingUnits(size_t quota, double now) const {
+  double wanted = std::min(quotas_[quota].demand * kDemandMargin, settings_.quotas[quota]);
+  return std::max(wanted - available(quota, now), 0.0);
 }
 
-// --- letters
+// --- messages
 void LeaseManager::receive(double now, const LeaseMessage& message) {
-  bool sound = message.from >= 0 && message.from < settings_.memberCount && message.from != self_ &&
+  bool valid = message.from >= 0 && message.from < settings_.memberCount && message.from != self_ &&
                message.to == self_;
-  for (auto& line : message.items)
-    sound = sound && line.quota < quotas_.size() && std::isfinite(line.units) && line.units >= 0 &&
-            line.lendable >= 0;
-  if (!sound)
-    return void(++refused_);
+  for (auto& item : message.items)
+    valid = valid && item.quota < quotas_.size() && std::isfinite(item.units) && item.units >= 0 &&
+            item.lendable >= 0;
+  if (!valid)
+    return void(++rejected_);
   switch (message.kind) {
     case LeaseMessage::Kind::request:
-      return grant(now, message);
+      return handleRequest(now, message);
     case LeaseMessage::Kind::grant:
-      return granted(now, message);
+      return handleGrant(now, message);
     case LeaseMessage::Kind::release:
-      return returned(message);
+      return handleRelease(message);
   }
 }
 
-// A renewal takes no more than it adds: what the borrower has of us already counts towards what it asks for.
-void LeaseManager::grant(double now, const LeaseMessage& request) {
-  LeaseMessage answer{LeaseMessage::Kind::grant, self_, request.from, request.instance,
-                      request.requestNumber,     {}};
-  for (auto& line : request.items) {
-    auto& loans = quotas_[line.quota].lent[request.from];
-    std::erase_if(loans, [&](auto& loan) { return now >= loan.until; });
-    double has = 0;
-    for (auto& loan : loans)
-      has = std::max(has, loan.units);
-    double lends = std::min(line.units, has + spare(line.quota, now));
-    // Its own use comes first again: what it wants back it doesn't renew.
-    double own = settings_.ownQuota(line.quota),
-           use = std::max(quotas_[line.quota].want * kMargin, own * settings_.reservedShare);
-    double others = lentOut(line.quota, now) - has;
-    lends = mayLend(now) ? std::clamp(lends, 0.0, std::max(own - others - use, 0.0)) : 0;
-    if (lends > 0)
-      loans.push_back({request.instance, request.requestNumber, lends,
-                       now + settings_.leaseDuration + settings_.guardTime});
-    answer.items.push_back({line.quota, lends, spare(line.quota, now)});
+// A request names the total that the borrower wants of this lender: units that it has already count towards
+// it, so that a renewal takes only the difference.
+void LeaseManager::handleRequest(double now, const LeaseMessage& request) {
+  LeaseMessage grant{LeaseMessage::Kind::grant, self_, request.from, request.instance,
+                     request.requestNumber,     {}};
+  for (auto& item : request.items) {
+    auto& leases = quotas_[item.quota].granted[request.from];
+    std::erase_if(leases, [&](auto& lease) { return now >= lease.until; });
+    double already = 0;
+    for (auto& lease : leases)
+      already = std::max(already, lease.units);
+    double units = std::min(item.units, already + lendableUnits(item.quota, now));
+    // The lender's own demand comes first: what it needs back it does not renew.
+    double own = settings_.ownQuota(item.quota);
+    double needed = std::max(quotas_[item.quota].demand * kDemandMargin, own * settings_.reservedShare);
+    double toOthers = grantedUnits(item.quota, now) - already;
+    units = mayLend(now) ? std::clamp(units, 0.0, std::max(own - toOthers - needed, 0.0)) : 0;
+    if (units > 0)
+      leases.push_back({request.instance, request.requestNumber, units,
+                        now + settings_.leaseDuration + settings_.guardTime});
+    grant.items.push_back({item.quota, units, lendableUnits(item.quota, now)});
   }
-  out_.push_back(std::move(answer));
+  outgoing_.push_back(std::move(grant));
 }
 
-// Only the answer to the last ask of this life counts: an earlier one may be over at the lender already.
-void LeaseManager::granted(double now, const LeaseMessage& grant) {
-  auto asked = asked_.find(grant.from);
-  if (grant.instance != life_ || asked == asked_.end() || asked->second.number != grant.requestNumber)
-    return void(++refused_);
-  double at = asked->second.at, until = at + settings_.leaseDuration - settings_.guardTime;
-  asked_.erase(asked);
-  BorrowedLease loan{at, until, std::vector<double>(quotas_.size())};
-  double got = 0, most = 0;
-  for (auto& line : grant.items) {
-    double own = settings_.ownQuota(line.quota);
-    loan.units[line.quota] = std::min(line.units, own);  // no member has more to lend
-    got += line.units / own, most = std::max(most, line.lendable / own);
+// Accepts only the answer to the last request of this instance: leases of earlier requests may have expired
+// at the lender.
+void LeaseManager::handleGrant(double now, const LeaseMessage& grant) {
+  auto pending = pendingRequests_.find(grant.from);
+  if (grant.instance != instance_ || pending == pendingRequests_.end() ||
+      pending->second.number != grant.requestNumber)
+    return void(++rejected_);
+  double requestedAt = pending->second.time;
+  double until = requestedAt + settings_.leaseDuration - settings_.guardTime;
+  pendingRequests_.erase(pending);
+  BorrowedLease lease{requestedAt, until, std::vector<double>(quotas_.size())};
+  double granted = 0;   // in parts of a member's own quota, over all quotas
+  double lendable = 0;  // the largest part of any quota
+  for (auto& item : grant.items) {
+    double own = settings_.ownQuota(item.quota);
+    lease.units[item.quota] = std::min(item.units, own);  // no member has more to lend
+    granted += item.units / own;
+    lendable = std::max(lendable, item.lendable / own);
+  }
+  knownLendable_[grant.from] = {lendable, now};
+  fanout_ =
+      granted > kNegligibleShare ? std::min(2 * fanout_, kMaxFanout) : std::max(fanout_ - 1, kMinFanout);
+  if (granted > kNegligibleShare) {
+    backoff_ = 0;
+    nextRequest_ = now;
   }
-  spares_[grant.from] = {most, now};
-  reach_ = got > kCrumb ? std::min(2 * reach_, kReachMost) : std::max(reach_ - 1, kReachLeast);
-  if (got > kCrumb)
-    pause_ = 0, nextAsk_ = now;
   if (now < until)
-    borrowed_[grant.from].push_back(std::move(loan));
+    borrowed_[grant.from].push_back(std::move(lease));
 }
 
-// Harmless to believe at any time: the borrower has stopped before it said so, and uses nothing up to that number later.
-void LeaseManager::returned(const LeaseMessage& message) {
-  for (auto& line : quotas_)
-    if (auto loans = line.lent.find(message.from); loans != line.lent.end())
-      std::erase_if(loans->second, [&](auto& loan) {
-        return loan.life == message.instance && loan.number <= message.requestNumber;
+// Safe however late it arrives: the borrower stopped using the leases before it sent the release, and uses
+// nothing up to that request number afterwards.
+void LeaseManager::handleRelease(const LeaseMessage& release) {
+  for (auto& quota : quotas_)
+    if (auto found = quota.granted.find(release.from); found != quota.granted.end())
+      std::erase_if(found->second, [&](auto& lease) {
+        return lease.instance == release.instance && lease.requestNumber <= release.requestNumber;
       });
 }
 
-void LeaseManager::ask(int lender, double now, const std::vector<double>& units) {
-  LeaseMessage message{LeaseMessage::Kind::request, self_, lender, life_, ++asks_, {}};
+void LeaseManager::sendRequest(int lender, double now, const std::vector<double>& units) {
+  LeaseMessage request{LeaseMessage::Kind::request, self_, lender, instance_, ++requestCount_, {}};
   for (size_t i = 0; i < units.size(); ++i)
     if (units[i] > 0)
-      message.items.push_back({uint32_t(i), units[i], 0});
-  asked_[lender] = {asks_, now};
-  out_.push_back(std::move(message));
+      request.items.push_back({uint32_t(i), units[i], 0});
+  pendingRequests_[lender] = {requestCount_, now};
+  outgoing_.push_back(std::move(request));
 }
 
-// --- ticks
+// --- periodic work
 void LeaseManager::tick(double now) {
   if (now < nextTick_)
     return;
-  nextTick_ = now + kTick;
-  forget(now);
-  giveBack(now);
+  nextTick_ = now + kTickInterval;
+  removeExpired(now);
+  releaseUnneeded(now);
   std::vector<double> missing(quotas_.size());
-  double most = 0;  // in parts of one member
-  for (size_t i = 0; i < quotas_.size(); ++i)
-    missing[i] = this->missing(i, now), most = std::max(most, missing[i] / settings_.ownQuota(i));
-  // What was borrowed and is still of use is asked for again in time; at once where its lender has more that is missing.
-  for (auto& [lender, loans] : borrowed_) {
-    auto told = spares_.find(lender);
-    bool more = most > kCrumb && told != spares_.end() && told->second.first > kCrumb;
-    if (asked_.contains(lender) || (!more && now < loans.back().askedAt + kRenew * settings_.leaseDuration))
+  double largestMissing = 0;  // in parts of a member's own quota
+  for (size_t i = 0; i < quotas_.size(); ++i) {
+    missing[i] = missingUnits(i, now);
+    largestMissing = std::max(largestMissing, missing[i] / settings_.ownQuota(i));
+  }
+  // Leases that are still needed are renewed in time, and at once if their lender has more of what is
+  // missing.
+  for (auto& [lender, leases] : borrowed_) {
+    auto known = knownLendable_.find(lender);
+    bool hasMore = largestMissing > kNegligibleShare && known != knownLendable_.end() &&
+                   known->second.first > kNegligibleShare;
+    if (pendingRequests_.contains(lender) ||
+        (!hasMore && now < leases.back().requestedAt + kRenewalPoint * settings_.leaseDuration))
       continue;
     std::vector<double> units(quotas_.size());
     for (size_t i = 0; i < quotas_.size(); ++i)
-      units[i] = std::min(unitsOf(loans, i, now) + missing[i], settings_.ownQuota(i));
-    ask(lender, now, units);
+      units[i] = std::min(borrowedUnits(leases, i, now) + missing[i], settings_.ownQuota(i));
+    sendRequest(lender, now, units);
+  }
+  if (largestMissing <= kNegligibleShare) {
+    fanout_ = kMinFanout;
+    backoff_ = 0;
+    nextRequest_ = now;
+    return;
   }
-  if (most <= kCrumb)
-    return void((reach_ = kReachLeast, pause_ = 0, nextAsk_ = now));
-  if (now < nextAsk_)
+  if (now < nextRequest_)
     return;
-  pause_ = std::clamp(2 * pause_, kTick, kPauseMost), nextAsk_ = now + pause_;
-  for (int lender : lenders(now, std::min(reach_, size_t(2 * most) + 1))) {
+  backoff_ = std::clamp(2 * backoff_, kTickInterval, kMaxBackoff);
+  nextRequest_ = now + backoff_;
+  // At most about twice as many members as it would take if each lent all of its quota.
+  for (int lender : selectLenders(now, std::min(fanout_, size_t(2 * largestMissing) + 1))) {
     std::vector<double> units(quotas_.size());
     for (size_t i = 0; i < quotas_.size(); ++i)
       units[i] = std::min(missing[i], settings_.ownQuota(i));
-    ask(lender, now, units);
+    sendRequest(lender, now, units);
   }
 }
 
-// Those that had something left a moment ago, the most first; then others, by chance.
-std::vector<int> LeaseManager::lenders(double now, size_t most) {
-  std::vector<std::pair<double, int>> known;
-  std::vector<int> others, picked;
+// Members that recently reported lendable units, the largest first; then others at random.
+std::vector<int> LeaseManager::selectLenders(double now, size_t limit) {
+  std::vector<std::pair<double, int>> known;  // negated part of its own quota, member
+  std::vector<int> unknown;
+  std::vector<int> selected;
   for (int i = 0; i < settings_.memberCount; ++i) {
-    if (i == self_ || !there_[size_t(i)] || asked_.contains(i) || borrowed_.contains(i))
+    if (i == self_ || !alive_[size_t(i)] || pendingRequests_.contains(i) || borrowed_.contains(i))
       continue;
-    auto told = spares_.find(i);
-    if (told == spares_.end() || now > told->second.second + kKnown)
-      others.push_back(i);
-    else if (told->second.first > kCrumb)
-      known.push_back({-told->second.first, i});
+    auto found = knownLendable_.find(i);
+    if (found == knownLendable_.end() || now > found->second.second + kLendableLifetime)
+      unknown.push_back(i);
+    else if (found->second.first > kNegligibleShare)
+      known.push_back({-found->second.first, i});
   }
   std::ranges::sort(known);
-  for (auto& [spare, lender] : known)
-    if (picked.size() < most)
-      picked.push_back(lender);
-  while (picked.size() < most && !others.empty()) {
-    std::swap(others[chance_.next() % others.size()], others.back());
-    picked.push_back(others.back()), others.pop_back();
+  for (auto& [negatedShare, lender] : known)
+    if (selected.size() < limit)
+      selected.push_back(lender);
+  while (selected.size() < limit && !unknown.empty()) {
+    std::swap(unknown[random_.next() % unknown.size()], unknown.back());
+    selected.push_back(unknown.back());
+    unknown.pop_back();
   }
-  return picked;
+  return selected;
 }
 
-// A loan of which nothing is needed goes back whole, the smallest first.
-void LeaseManager::giveBack(double now) {
+// Releases the leases of a lender once none of their units is needed, the smallest first.
+void LeaseManager::releaseUnneeded(double now) {
   std::vector<std::pair<double, int>> bySize;
-  for (auto& [lender, loans] : borrowed_) {
-    double all = 0;
+  for (auto& [lender, leases] : borrowed_) {
+    double size = 0;  // in parts of a member's own quota
     for (size_t i = 0; i < quotas_.size(); ++i)
-      all += unitsOf(loans, i, now) / settings_.ownQuota(i);
-    bySize.push_back({all, lender});
+      size += borrowedUnits(leases, i, now) / settings_.ownQuota(i);
+    bySize.push_back({size, lender});
   }
   std::ranges::sort(bySize);
   for (auto& [size, lender] : bySize) {
     bool needed = false;
     for (size_t i = 0; i < quotas_.size(); ++i) {
-      double units = unitsOf(borrowed_.at(lender), i, now);
-      needed |= units > 0 && available(i, now) - units < quotas_[i].want * kMargin;
+      double units = borrowedUnits(borrowed_.at(lender), i, now);
+      needed |= units > 0 && available(i, now) - units < quotas_[i].demand * kDemandMargin;
     }
     if (needed)
       continue;
-    borrowed_.erase(lender), asked_.erase(lender);
-    out_.push_back({LeaseMessage::Kind::release, self_, lender, life_, asks_, {}});
+    borrowed_.erase(lender);
+    pendingRequests_.erase(lender);
+    outgoing_.push_back({LeaseMessage::Kind::release, self_, lender, instance_, requestCount_, {}});
   }
 }
 
-void LeaseManager::forget(double now) {
-  for (auto& [lender, loans] : borrowed_)
-    std::erase_if(loans, [&](auto& loan) { return now >= loan.until; });
-  std::erase_if(borrowed_, [](auto& it) { return it.second.empty(); });
-  std::erase_if(asked_, [&](auto& it) { return now >= it.second.at + kAnswer; });
-  std::erase_if(spares_, [&](auto& it) { return now > it.second.second + kKnown; });
-  for (auto& line : quotas_) {
-    for (auto& [borrower, loans] : line.lent)
-      std::erase_if(loans, [&](auto& loan) { return now >= loan.until; });
-    std::erase_if(line.lent, [](auto& it) { return it.second.empty(); });
+void LeaseManager::removeExpired(double now) {
+  for (auto& [lender, leases] : borrowed_)
+    std::erase_if(leases, [&](auto& lease) { return now >= lease.until; });
+  std::erase_if(borrowed_, [](auto& entry) { return entry.second.empty(); });
+  std::erase_if(pendingRequests_, [&](auto& entry) { return now >= entry.second.time + kRequestTimeout; });
+  std::erase_if(knownLendable_, [&](auto& entry) { return now > entry.second.second + kLendableLifetime; });
+  for (auto& quota : quotas_) {
+    for (auto& [borrower, leases] : quota.granted)
+      std::erase_if(leases, [&](auto& lease) { return now >= lease.until; });
+    std::erase_if(quota.granted, [](auto& entry) { return entry.second.empty(); });
   }
 }
 
