--- a/src/budget/budget_settings.cpp
+++ b/src/budget/budget_settings.cpp
@@ -76,14 +76,14 @@
     std::string key = "nodes[" + std::to_string(i) + "]";
     validateNode(key, entry.settings, errors);
     if (!names.insert(entry.name).second) {
-      errors.push_back({key + ".name", "'" + entry.name + "' is there already; names must differ"});
+      errors.push_back({key + ".name", "'" + entry.name + "' is a duplicate; names must be unique"});
       continue;
     }
     std::string parentName = entry.parent.empty() ? parentPath(entry.name) : entry.parent;
     const NodeEntry* parent = findEntry(settings, parentName);
     if (!parentName.empty() && !parent) {
       errors.push_back({key + (entry.parent.empty() ? ".name" : ".parent"),
-                        "'" + parentName + "' is no node; it must be the name of another entry"});
+                        "'" + parentName + "' is not a node; it must be the name of another entry"});
       continue;
     }
     bool cycle = false;
@@ -92,7 +92,7 @@
       cycle = ancestor == &entry || steps > settings.entries.size();
     if (cycle) {
       errors.push_back(
-          {key + ".parent", "'" + entry.name + "' stands above itself; parents must not go round"});
+          {key + ".parent", "'" + entry.name + "' is its own ancestor; parents must not form a cycle"});
       continue;
     }
     for (auto& kind : kResourceKinds)
@@ -115,7 +115,7 @@
         if (&settings.entries[i] == parent)
           key = "nodes[" + std::to_string(i) + "].guarantee." + kind.name;
       errors.push_back({key, "is " + formatNumber(*available) + ", but " + formatNumber(*guaranteed) +
-                                 " are guaranteed below it; guarantees must fit into what there is"});
+                                 " are guaranteed below it; the sum of guarantees must not exceed it"});
     }
   }
   validateNode("default", settings.defaults, errors);
--- a/src/shared/lease_manager.cpp
+++ b/src/shared/lease_manager.cpp
@@ -30,7 +30,8 @@
   if (!(settings.leaseDuration > 0))
     errors.push_back({"loanS", "must be above 0"});
   if (!(settings.guardTime >= 0 && 2 * settings.guardTime < settings.leaseDuration * kRenewalPoint))
-    errors.push_back({"guardS", "must be below a quarter of loanS: no loan could be renewed before its end"});
+    errors.push_back(
+        {"guardS", "must be below a quarter of loanS, or no lease could be renewed before it expires"});
   return errors;
 }
 
--- a/src/view/engine_subset.cpp
+++ b/src/view/engine_subset.cpp
@@ -372,8 +372,8 @@
     lines.push_back(describe(
         ErrorKind::noEngineInSubset,
         "none of its " + std::to_string(depth.listed()) + " engines can be used: " + std::to_string(ejected) +
-            " in view rest, " + std::to_string(cold) +
-            " start and are other dispatchers' to warm; looked as far as place " +
+            " in view are ejected, " + std::to_string(cold) +
+            " are cold and warmed by other dispatchers; searched up to rank " +
             std::to_string(depth.maxDepth()) + " of " + std::to_string(settings_.gatewayCount),
         "class " + depth.name()));
   }
--- a/src/view/subset_settings.cpp
+++ b/src/view/subset_settings.cpp
@@ -11,16 +11,16 @@
 };
 constexpr std::array<ErrorText, kErrorKinds> kErrorTexts = {{
     {"ordinal-missing",
-     "let the platform set settings.ordinal, another one in each dispatcher; or take the section view out of "
-     "the "
-     "gateway file"},
+     "have the platform set settings.ordinal, a different one for each dispatcher, "
+     "or remove the section view from the gateway file"},
     {"ordinal-too-large",
      "correct settings.ordinal or settings.balancers: ordinals go from 0 to balancers - 1"},
     {"counts-differ",
-     "let settings.balancers and members.peers name the same dispatchers; until then the settings hold"},
+     "make settings.balancers and members.peers name the same dispatchers; "
+     "until then the gateway does not start"},
     {"no-engine-in-view",
-     "look why the engines of this class rest or start; if there are few of them add some, or raise "
-     "view.users"},
+     "check why the engines of this class are ejected or cold; "
+     "if the class has few engines, add some or raise view.users"},
 }};
 
 // Without the trailing zeros of std::to_string.
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -48,10 +48,10 @@
   {"name": "e"},
   {"name": "f", "guarantee": {"cores": 1}}, {"name": "f/x", "guarantee": {"cores": 3}}]}}
 JSON
-for pattern in "unsound.json: budgets.nodes\[0\].parent: 'a' stands above itself" \
-  "budgets.nodes\[1\].parent: 'b' stands above itself" "budgets.nodes\[2\].parent: 'nobody' is no node" \
+for pattern in "unsound.json: budgets.nodes\[0\].parent: 'a' is its own ancestor" \
+  "budgets.nodes\[1\].parent: 'b' is its own ancestor" "budgets.nodes\[2\].parent: 'nobody' is not a node" \
   "budgets.nodes\[3\].ceiling.cores: is 2, below the guarantee of 6" \
-  "budgets.nodes\[5\].name: 'e' is there already" "budgets.nodes\[6\].guarantee.cores: is 1, but 3 are guaranteed" \
+  "budgets.nodes\[5\].name: 'e' is a duplicate" "budgets.nodes\[6\].guarantee.cores: is 1, but 3 are guaranteed" \
   "budgets.cores: is 10, but 13 are guaranteed"; do
   expect "an unsound plan: $pattern" 1 "$pattern" "$program" check "$folder/unsound.json"
 done
--- a/tests/view_cases_test.cpp
+++ b/tests/view_cases_test.cpp
@@ -105,9 +105,10 @@
       continue;
     ++none;
     CHECK_EQ(lines[2].find("view: no-engine-in-view: class large: "), 0);
-    CHECK_EQ(lines[1].find(
-                 "view: no-engine-in-view: class east: none of its 10 engines can be used: 0 in view rest"),
-             0);
+    CHECK_EQ(
+        lines[1].find(
+            "view: no-engine-in-view: class east: none of its 10 engines can be used: 0 in view are ejected"),
+        0);
     one.until(kBegin + kColdTime, [](double) {});
     CHECK_GE(one.engines.size(), 4);
     CHECK(one.view.takeWarnings().empty());
@@ -268,7 +269,7 @@
     }
     return "";
   };
-  CHECK_EQ(said(3, -1).find("view: ordinal-missing: settings.ordinal: found none; allowed is 0 to 2; let"),
+  CHECK_EQ(said(3, -1).find("view: ordinal-missing: settings.ordinal: found none; allowed is 0 to 2; have"),
            0);
   CHECK_EQ(said(3, 3).find(
                "view: ordinal-too-large: settings.ordinal: found 3 with settings.balancers 3; allowed is "
