--- a/bench/budget_bench.cpp
+++ b/bench/budget_bench.cpp
@@ -30,16 +30,21 @@
   std::deque<QueuedCommand> items(held);
   double now = 0;
   for (auto& item : items) {
-    item.path = actorOf(chance.next() % teams), item.work = 0.1;
-    tree.add(item, now), tree.enqueue(item, false, now);
+    item.path = actorOf(chance.next() % teams);
+    item.work = 0.1;
+    tree.add(item, now);
+    tree.enqueue(item, false, now);
   }
   for (auto _ : state) {  // one of each: a pick, its start and ending, and an arrival in its place
     now += 1e-4;
     QueuedCommand* item = tree.selectNext(now);
-    tree.dequeue(*item, now), tree.sendStarted(*item, now);
-    tree.sendFinished(*item, 0.1, now), tree.remove(*item, now);
+    tree.dequeue(*item, now);
+    tree.sendStarted(*item, now);
+    tree.sendFinished(*item, 0.1, now);
+    tree.remove(*item, now);
     item->path = actorOf(chance.next() % teams);
-    tree.add(*item, now), tree.enqueue(*item, false, now);
+    tree.add(*item, now);
+    tree.enqueue(*item, false, now);
   }
 }
 
@@ -77,7 +82,8 @@
           queue.deficit += rounds * 0.05 * queue.weight;
     }
     cursor = chosen;
-    queues[chosen].deficit -= queues[chosen].fifo.front(), queues[chosen].fifo.pop_front();
+    queues[chosen].deficit -= queues[chosen].fifo.front();
+    queues[chosen].fifo.pop_front();
     queues[chance.next() % teams].fifo.push_back(0.1);
   }
 }
@@ -106,7 +112,9 @@
   size_t teams = size_t(state.range(0)), held = size_t(state.range(1));
   Settings set;
   Profile profile;
-  profile.name = "report", profile.latencyTarget = 1e6, profile.clientTimeout = 1e6;
+  profile.name = "report";
+  profile.latencyTarget = 1e6;
+  profile.clientTimeout = 1e6;
   set.profiles = {profile};
   for (size_t i = 0; i < teams; ++i)
     set.tenants.push_back({"t" + std::to_string(i), 1.0 / double(teams), 0});
--- a/bench/engines_bench.cpp
+++ b/bench/engines_bench.cpp
@@ -49,14 +49,24 @@
 Cost costOf(uint32_t engines, const view::SubsetSettings* plan) {
   Settings set;
   Profile quick;
-  quick.name = "quick", quick.latencyTarget = 1, quick.latencyTargetStretch = 2, quick.clientTimeout = 5,
+  quick.name = "quick";
+  quick.latencyTarget = 1;
+  quick.latencyTargetStretch = 2;
+  quick.clientTimeout = 5;
   quick.benefit = 1;
   set.profiles = {quick, quick, quick};
-  set.profiles[1].name = "dear", set.profiles[2].name = "load";
+  set.profiles[1].name = "dear";
+  set.profiles[2].name = "load";
   set.tenants = {{"north", 1, 0}};
   set.engineKinds = {{"eight", 8, 16000}};
-  set.gatewayCount = 2400, set.ordinal = 7, set.maxSends = 3, set.coldCapacity = 0.4, set.coldDuration = 10;
-  set.coldOverloadFactor = 2, set.coldOverloadWindow = 1, set.probingSupported = true;
+  set.gatewayCount = 2400;
+  set.ordinal = 7;
+  set.maxSends = 3;
+  set.coldCapacity = 0.4;
+  set.coldDuration = 10;
+  set.coldOverloadFactor = 2;
+  set.coldOverloadWindow = 1;
+  set.probingSupported = true;
   long before = residentKb();
   ListEvent whole{1, true, std::vector<Listing>(engines)};
   for (uint32_t i = 0; i < engines; ++i) {
@@ -77,7 +87,8 @@
   auto policy = createPolicy(seen ? seen->localSettings() : set, 7, sink);
   double now = 0;
   policy->advanceTo(now);
-  policy->updateEngines(EngineListKind::full, rows), policy->decide();
+  policy->updateEngines(EngineListKind::full, rows);
+  policy->decide();
   uint64_t number = 0;
   auto command = [&] {  // seven a second, each answered 20 ms later
     policy->advanceTo(now += 0.12);
@@ -96,7 +107,8 @@
   std::vector<double> sweeps, commands;
   for (int i = 0; i < times / 4; ++i) {
     double began = seconds();
-    policy->advanceTo(now += 0.05), policy->decide();
+    policy->advanceTo(now += 0.05);
+    policy->decide();
     sweeps.push_back((seconds() - began) * 1e6);
   }
   for (int i = 0; i < times; ++i) {  // two settles with a sweep each belong to it: taken off below
@@ -104,7 +116,8 @@
     command();
     commands.push_back((seconds() - began) * 1e6);
   }
-  std::ranges::sort(sweeps), std::ranges::sort(commands);
+  std::ranges::sort(sweeps);
+  std::ranges::sort(commands);
   double sweep = sweeps[sweeps.size() / 2], each = commands[commands.size() / 2];
   return {sweep, std::max(each - sweep, 0.0), after - before, long(rows.size())};
 }
--- a/bench/view_bench.cpp
+++ b/bench/view_bench.cpp
@@ -33,7 +33,8 @@
   std::vector<double> took;
   for (int i = 0; i < times; ++i) {
     double began = seconds();
-    work(), took.push_back(seconds() - began);
+    work();
+    took.push_back(seconds() - began);
   }
   std::ranges::nth_element(took, took.begin() + times / 2);
   return took[size_t(times / 2)];
@@ -178,7 +179,8 @@
         for (auto d : one)
           ++of[d];
       }
-      std::ranges::sort(by), std::ranges::sort(of);
+      std::ranges::sort(by);
+      std::ranges::sort(of);
       size_t sum = std::accumulate(by.begin(), by.end(), size_t{0}), most = 0;
       for (auto& one : usersOf(way, list, dispatchers, users, &older))
         most = std::max(most, one.size());
@@ -213,23 +215,31 @@
   std::discrete_distribution<int> zones(sizes.begin(), sizes.end()), kinds({4, 3, 1});
   std::vector<int> zoneOf(engines), home(count);
   std::vector<double> capacity(engines), traffic(count), wide(count), near(count), load(engines);
+  for (size_t e = 0; e < engines; ++e) {
+    zoneOf[e] = zones(chance);
+    capacity[e] = 8 << kinds(chance);
+  }
+  for (size_t d = 0; d < count; ++d) {
+    home[d] = zones(chance);
+    traffic[d] = chance() % 10 == 0 ? sum.heavy : 1;
+  }
   for (size_t e = 0; e < engines; ++e)
-    zoneOf[e] = zones(chance), capacity[e] = 8 << kinds(chance);
-  for (size_t d = 0; d < count; ++d)
-    home[d] = zones(chance), traffic[d] = chance() % 10 == 0 ? sum.heavy : 1;
-  for (size_t e = 0; e < engines; ++e)
-    for (auto d : users[e])
-      wide[d] += capacity[e], near[d] += home[d] == zoneOf[e] ? capacity[e] : 0;
+    for (auto d : users[e]) {
+      wide[d] += capacity[e];
+      near[d] += home[d] == zoneOf[e] ? capacity[e] : 0;
+    }
   double work = 0, all = 0;
   for (size_t e = 0; e < engines; ++e) {
     for (auto d : users[e]) {
       double bound = near[d] > 0 ? sum.bound : 0;
       load[e] += traffic[d] * ((1 - bound) / wide[d] + (home[d] == zoneOf[e] ? bound / near[d] : 0));
     }
-    work += load[e] * capacity[e], all += capacity[e];
+    work += load[e] * capacity[e];
+    all += capacity[e];
   }
   std::ranges::sort(load);
-  sum.p99 += load[engines * 99 / 100] / (work / all), sum.most += load.back() / (work / all);
+  sum.p99 += load[engines * 99 / 100] / (work / all);
+  sum.most += load.back() / (work / all);
 }
 void loads(const std::vector<Way>& ways, int dispatchers, uint32_t engines) {
   constexpr int kDraws = 3;
@@ -263,8 +273,10 @@
       table += "\n";
   }
   Users whole(engines);
-  for (auto& one : whole)
-    one.resize(size_t(dispatchers)), std::iota(one.begin(), one.end(), uint16_t{0});
+  for (auto& one : whole) {
+    one.resize(size_t(dispatchers));
+    std::iota(one.begin(), one.end(), uint16_t{0});
+  }
   for (auto& table : tables)
     table += "| all: the whole list |";
   add(whole);
@@ -279,14 +291,18 @@
 
 void costs(int dispatchers, uint32_t engines) {
   Settings set;
-  set.gatewayCount = dispatchers, set.ordinal = dispatchers / 3, set.coldDuration = 30;
+  set.gatewayCount = dispatchers;
+  set.ordinal = dispatchers / 3;
+  set.coldDuration = 30;
   set.profiles.resize(3);
-  set.profiles[1].allowedZones = {"z3"}, set.profiles[2].allowedKinds = {"k2"};
+  set.profiles[1].allowedZones = {"z3"};
+  set.profiles[2].allowedKinds = {"k2"};
   ListEvent list{1, true, {}};
   for (uint32_t i = 0; i < engines; ++i) {
     Listing& one = list.rows.emplace_back();
-    one.row.id = 1000 + 2 * i, one.address = {0x7f000000 + i, 4200};
-    one.row.zone = std::string("z").append(std::to_string(i % 16)),
+    one.row.id = 1000 + 2 * i;
+    one.address = {0x7f000000 + i, 4200};
+    one.row.zone = std::string("z").append(std::to_string(i % 16));
     one.row.kind = std::string("k").append(std::to_string(i / 16 % 8 ? i % 2 : 2));
   }
   double now = 1e9;
@@ -327,7 +343,8 @@
   bool is = false;
   double rest =
       medianOf(1001, [&] { view.setEjected(near[id++ / 2 % near.size()], is = !is), view.tick(now += 0.1); });
-  view.apply({1, true, {}}, now += 1), view.apply(list, now += 1);
+  view.apply({1, true, {}}, now += 1);
+  view.apply(list, now += 1);
   while (view.nextWakeUp() < HUGE_VAL)
     view.tick(now = view.nextWakeUp());  // until it is as narrow as at first
   ListEvent zone{1, false, {}};
@@ -342,8 +359,10 @@
   for (auto& row : zone.rows)
     row.row.state = EngineState::removed;
   auto gone = timed([&] { return view.apply(zone, now += 60).size(); });
-  for (auto& row : zone.rows)
-    row.row.state = EngineState::inService, row.bornMs = int64_t(now * 1000) + 60000;
+  for (auto& row : zone.rows) {
+    row.row.state = EngineState::inService;
+    row.bornMs = int64_t(now * 1000) + 60000;
+  }
   auto back = timed([&] { return view.apply(zone, now += 60).size(); });
   auto warm = timed([&] { return view.tick(now += 31).size(); });
   std::printf(
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -18,7 +18,9 @@
   NodeEntry made{name, "", {}};
   if (guarantee > 0)
     made.settings.guarantee.cores = guarantee;
-  made.settings.weight = weight, made.settings.priority = priority, made.settings.agingThreshold = 1e6;
+  made.settings.weight = weight;
+  made.settings.priority = priority;
+  made.settings.agingThreshold = 1e6;
   return made;
 }
 BudgetSettings planOf(std::vector<NodeEntry> entries) {
@@ -33,9 +35,11 @@
   explicit Stage(const BudgetSettings& plan) : tree(plan, 1) {}
   QueuedCommand& come(std::vector<std::string> actor, double work = 0.1) {
     QueuedCommand& item = *items.emplace_back(std::make_unique<QueuedCommand>());
-    item.path = std::move(actor), item.path.push_back("report");
+    item.path = std::move(actor);
+    item.path.push_back("report");
     item.work = work;
-    tree.add(item, now), tree.enqueue(item, false, now);
+    tree.add(item, now);
+    tree.enqueue(item, false, now);
     return item;
   }
   // Starts what the tree says, and ends it at once after its work; false: nobody may start.
@@ -43,11 +47,13 @@
     QueuedCommand* item = tree.selectNext(now);
     if (!item)
       return false;
-    tree.dequeue(*item, now), tree.sendStarted(*item, now);
+    tree.dequeue(*item, now);
+    tree.sendStarted(*item, now);
     now += item->work;
     done[item->path[0]] += item->work;
     order.push_back(item);
-    tree.sendFinished(*item, billed, now), tree.remove(*item, now);
+    tree.sendFinished(*item, billed, now);
+    tree.remove(*item, now);
     return true;
   }
   double part(const std::string& team) {
@@ -67,8 +73,11 @@
 
 TEST_CASE("what is left is borrowed by weight, a guarantee comes first, and what is unused is lent") {
   Stage stage(planOf({entry("a", 0.5), entry("b", 0, 3), entry("c", 0, 1)}));
-  for (int i = 0; i < 1000; ++i)
-    stage.come({"a"}), stage.come({"b"}), stage.come({"c"}, 0.2);
+  for (int i = 0; i < 1000; ++i) {
+    stage.come({"a"});
+    stage.come({"b"});
+    stage.come({"c"}, 0.2);
+  }
   while (stage.now < 40)
     REQUIRE(stage.serve());
   // a: its half, and a fifth of the other half by weight 1 of 5.
@@ -109,8 +118,11 @@
 TEST_CASE("a guarantee holds for a user whose team has none, and within a team by weight") {
   BudgetSettings plan = planOf({entry("team", 0), entry("team/u1", 0.5), entry("other", 0, 4)});
   Stage stage(plan);
-  for (int i = 0; i < 1000; ++i)
-    stage.come({"team", "u1"}), stage.come({"team", "u2"}), stage.come({"other"});
+  for (int i = 0; i < 1000; ++i) {
+    stage.come({"team", "u1"});
+    stage.come({"team", "u2"});
+    stage.come({"other"});
+  }
   while (stage.now < 40)
     stage.serve();
   std::map<std::string, double> users;
@@ -146,17 +158,23 @@
 
 TEST_CASE("ceilings on sends and memory open with an ending") {
   NodeEntry capped = entry("a", 0);
-  capped.settings.ceiling.sends = 2, capped.settings.ceiling.memoryMb = 100;
+  capped.settings.ceiling.sends = 2;
+  capped.settings.ceiling.memoryMb = 100;
   BudgetTree tree(planOf({capped}), 1);
   std::deque<QueuedCommand> items(5);
   for (auto& item : items) {
-    item.path = {"a", "report"}, item.work = 1, item.memoryMb = 40;
-    tree.add(item, 0), tree.enqueue(item, false, 0);
+    item.path = {"a", "report"};
+    item.work = 1;
+    item.memoryMb = 40;
+    tree.add(item, 0);
+    tree.enqueue(item, false, 0);
   }
   auto start = [&] {
     QueuedCommand* item = tree.selectNext(0);
-    if (item)
-      tree.dequeue(*item, 0), tree.sendStarted(*item, 0);
+    if (item) {
+      tree.dequeue(*item, 0);
+      tree.sendStarted(*item, 0);
+    }
     return item;
   };
   QueuedCommand* first = start();
@@ -221,23 +239,29 @@
 
 TEST_CASE("a team whose commands cost 20 times their estimate pays for what they cost") {
   Stage stage(planOf({entry("honest", 0), entry("liar", 0)}));
-  for (int i = 0; i < 2000; ++i)
-    stage.come({"honest"}, 0.1), stage.come({"liar"}, 0.01);
+  for (int i = 0; i < 2000; ++i) {
+    stage.come({"honest"}, 0.1);
+    stage.come({"liar"}, 0.01);
+  }
   std::map<std::string, double> real;
   while (stage.now < 200) {
     QueuedCommand* item = stage.tree.selectNext(stage.now);
     REQUIRE(item);
-    stage.tree.dequeue(*item, stage.now), stage.tree.sendStarted(*item, stage.now);
+    stage.tree.dequeue(*item, stage.now);
+    stage.tree.sendStarted(*item, stage.now);
     double cost = item->work * (item->path[0] == "liar" ? 20 : 1);
-    stage.now += cost, real[item->path[0]] += cost;
-    stage.tree.sendFinished(*item, cost, stage.now), stage.tree.remove(*item, stage.now);
+    stage.now += cost;
+    real[item->path[0]] += cost;
+    stage.tree.sendFinished(*item, cost, stage.now);
+    stage.tree.remove(*item, stage.now);
   }
   CHECK_EQ(real["liar"] / real["honest"], doctest::Approx(1).epsilon(0.1));
 }
 
 TEST_CASE("thousands of users with one command each leave nothing behind") {
   BudgetSettings plan = planOf({entry("team", 0)});
-  plan.maxNodes = 500, plan.idleTimeout = 5;
+  plan.maxNodes = 500;
+  plan.idleTimeout = 5;
   Stage stage(plan);
   for (int i = 0; i < 20'000; ++i) {
     stage.come({"team", "user" + std::to_string(i)}, 0.001);
@@ -260,10 +284,14 @@
   BudgetSettings before = planOf({entry("a", 0.5), entry("b", 0), entry("b/u", 0.2)});
   Stage stage(before);
   std::set<QueuedCommand*> held;
-  for (int i = 0; i < 50; ++i)
-    held.insert(&stage.come({"a"})), held.insert(&stage.come({"b", "u"}));
+  for (int i = 0; i < 50; ++i) {
+    held.insert(&stage.come({"a"}));
+    held.insert(&stage.come({"b", "u"}));
+  }
   QueuedCommand* out = stage.tree.selectNext(stage.now);
-  stage.tree.dequeue(*out, stage.now), stage.tree.sendStarted(*out, stage.now), held.erase(out);
+  stage.tree.dequeue(*out, stage.now);
+  stage.tree.sendStarted(*out, stage.now);
+  held.erase(out);
   NodeEntry moved = entry("b", 0.9);
   moved.parent = "org";
   stage.tree.reconfigure(planOf({entry("org", 0.9), moved}), 1, 0.05);
@@ -272,7 +300,8 @@
   REQUIRE(stage.tree.find("b"));
   CHECK_EQ(stage.tree.find("b")->parent, stage.tree.find("org"));
   CHECK_FALSE(stage.tree.find("a")->configured);
-  stage.tree.sendFinished(*out, 0, stage.now), stage.tree.remove(*out, stage.now);
+  stage.tree.sendFinished(*out, 0, stage.now);
+  stage.tree.remove(*out, stage.now);
   stage.now = 0.1;
   std::map<std::string, uint64_t> last;
   for (int i = 0; i < 40; ++i) {
@@ -321,8 +350,11 @@
       if (what < 0.45) {
         QueuedCommand& item = *items.emplace_back(std::make_unique<QueuedCommand>());
         item.path = {"t" + std::to_string(chance.next() % 9), "u" + std::to_string(chance.next() % 5), "p"};
-        item.work = chance.uniformBetween(0.01, 0.5), item.memoryMb = 10;
-        tree.add(item, now), tree.enqueue(item, false, now), ++held;
+        item.work = chance.uniformBetween(0.01, 0.5);
+        item.memoryMb = 10;
+        tree.add(item, now);
+        tree.enqueue(item, false, now);
+        ++held;
       } else if (what < 0.8) {
         QueuedCommand* item = tree.selectNext(now);
         if (!item)
@@ -332,23 +364,30 @@
           tree.postpone(*item, chance.uniformBetween(0.02, 0.1), now);
           continue;
         }
-        tree.dequeue(*item, now), tree.sendStarted(*item, now), --held, out.push_back(item);
+        tree.dequeue(*item, now);
+        tree.sendStarted(*item, now);
+        --held;
+        out.push_back(item);
       } else if (!out.empty()) {
         std::swap(out[chance.next() % out.size()], out.back());
         QueuedCommand* item = out.back();
         out.pop_back();
         tree.sendFinished(*item, chance.uniformBetween(0.01, 1), now);
-        if (chance.uniform() < 0.3)
-          tree.enqueue(*item, true, now), ++held;  // goes again
-        else
+        if (chance.uniform() < 0.3) {
+          // goes again
+          tree.enqueue(*item, true, now);
+          ++held;
+        } else
           tree.remove(*item, now);
       }
       RC_ASSERT(tree.root().queued == held);
       RC_ASSERT(tree.root().sends == double(out.size()));
       RC_ASSERT(tree.size() <= plan.maxNodes + 2 * plan.entries.size() + 1);
     }
-    for (QueuedCommand* item : out)
-      tree.sendFinished(*item, 0, now), tree.remove(*item, now);
+    for (QueuedCommand* item : out) {
+      tree.sendFinished(*item, 0, now);
+      tree.remove(*item, now);
+    }
     for (int step = 0; step < 20'000 && held > 0; ++step) {  // all that may run does, in the end
       QueuedCommand* item = tree.selectNext(now);
       if (!item) {
@@ -356,8 +395,11 @@
         RC_ASSERT(now < HUGE_VAL);
         continue;
       }
-      tree.dequeue(*item, now), tree.sendStarted(*item, now), --held;
-      tree.sendFinished(*item, 0, now), tree.remove(*item, now);
+      tree.dequeue(*item, now);
+      tree.sendStarted(*item, now);
+      --held;
+      tree.sendFinished(*item, 0, now);
+      tree.remove(*item, now);
     }
     RC_ASSERT(held == 0);
   });
@@ -369,13 +411,18 @@
   BudgetTree tree(plan, 1);
   std::deque<QueuedCommand> items(4);
   auto come = [&](size_t i, const char* team, double now) {
-    items[i].path = {team, "report"}, items[i].work = 1;
-    tree.add(items[i], now), tree.enqueue(items[i], false, now);
+    items[i].path = {team, "report"};
+    items[i].work = 1;
+    tree.add(items[i], now);
+    tree.enqueue(items[i], false, now);
   };
-  come(0, "x", 0), come(1, "y", 0), come(2, "y", 0.1);
+  come(0, "x", 0);
+  come(1, "y", 0);
+  come(2, "y", 0.1);
   for (double now : {0.0, 0.0, 0.1}) {
     QueuedCommand* item = tree.selectNext(now);
-    tree.dequeue(*item, now), tree.sendStarted(*item, now);
+    tree.dequeue(*item, now);
+    tree.sendStarted(*item, now);
   }
   come(3, "sure", 1);
   REQUIRE_EQ(tree.selectNext(1), &items[3]);
@@ -388,8 +435,10 @@
   CHECK_EQ(tree.selectVictim(1.4).command, &items[1]);
   CHECK_EQ(tree.selectVictim(1.5).command, &items[0]);
   CHECK_FALSE(tree.selectVictim(1.58).command);  // each once
-  for (size_t i = 0; i < 3; ++i)
-    tree.sendFinished(items[i], 0, 2), tree.remove(items[i], 2);
+  for (size_t i = 0; i < 3; ++i) {
+    tree.sendFinished(items[i], 0, 2);
+    tree.remove(items[i], 2);
+  }
   tree.remove(items[3], 2);
 }
 
@@ -403,8 +452,10 @@
     QueuedCommand* item = stage.tree.selectNext(now);
     if (item == &borrows)
       break;
-    if (item == &sure)
-      stage.tree.postpone(sure, 0.1, now), ++yielded;
+    if (item == &sure) {
+      stage.tree.postpone(sure, 0.1, now);
+      ++yielded;
+    }
   }
   CHECK_GE(yielded, 3);
   CHECK_GE(now, 0.3);  // yieldS
@@ -431,7 +482,8 @@
       // The queue is never empty, and swings.
       double gap = 0.275 / speed * (double(tree.root().queued) < 30 + 20 * std::sin(now / 7) ? 0.5 : 1.5);
       auto& [item, told] = all.emplace_back(std::make_unique<QueuedCommand>(), Told{now, {}});
-      item->path = {"team", "report"}, item->work = chance.uniformBetween(0.05, 0.5);
+      item->path = {"team", "report"};
+      item->work = chance.uniformBetween(0.05, 0.5);
       tree.add(*item, now);
       waits.advanceTo(now);
       told.estimate = waits.commandArrived(*item, now);
@@ -452,15 +504,18 @@
       for (auto& [held, told] : all)
         if (held.get() == item)
           told.wait = now - told.at;
-      tree.sendStarted(*item, now), free = now + item->work / speed;
+      tree.sendStarted(*item, now);
+      free = now + item->work / speed;
       tree.sendFinished(*item, 0, now);
     }
   }
   auto share = [&](double from, double to, auto told) {
     double hits = 0, count = 0;
     for (auto& [item, one] : all)
-      if (one.wait > 0.02 && one.at >= from && one.at < to)
-        ++count, hits += one.wait <= told(one.estimate);
+      if (one.wait > 0.02 && one.at >= from && one.at < to) {
+        ++count;
+        hits += one.wait <= told(one.estimate);
+      }
     CHECK_GT(count, 30);
     return hits / count;
   };
@@ -481,7 +536,8 @@
 struct BudgetScene : Scene {
   BudgetScene(Settings given, const BudgetSettings& plan)
       : Scene(given), scheduler(plan, given.gatewayCount) {
-    commands.clear(), wakes.clear();
+    commands.clear();
+    wakes.clear();
     policy = createPolicy(settings, 7, *this, &scheduler);
     policy->advanceTo(now);
   }
@@ -491,8 +547,10 @@
 
 Settings patient() {
   auto site = Scene::site();
-  for (auto& profile : site.profiles)
-    profile.latencyTarget = 60, profile.clientTimeout = 100;
+  for (auto& profile : site.profiles) {
+    profile.latencyTarget = 60;
+    profile.clientTimeout = 100;
+  }
   return site;
 }
 
@@ -576,9 +634,11 @@
   for (auto how : {PreemptionMode::lowerPriority, PreemptionMode::cancel}) {
     auto site = patient();
     site.tenants = {{"north", 0.5, 0}, {"south", 0.5, 0}};
-    site.prioritiesSupported = true, site.cancelSupported = how == PreemptionMode::cancel;
+    site.prioritiesSupported = true;
+    site.cancelSupported = how == PreemptionMode::cancel;
     BudgetSettings plan = planOf({entry("north", 6), entry("south", 0)});
-    plan.preemptionMode = how, plan.preemptionDelay = 0.1;
+    plan.preemptionMode = how;
+    plan.preemptionDelay = 0.1;
     BudgetScene scene(site, plan);
     scene.nodes({1});
     for (int i = 0; i < 40; ++i)
@@ -606,7 +666,9 @@
   BudgetScene scene(Scene::site(), planOf({none}));
   scene.nodes({1});
   scene.take("never", "quick", 0.1, "north");
-  scene.now = 99, scene.policy->advanceTo(99), scene.policy->decide();
+  scene.now = 99;
+  scene.policy->advanceTo(99);
+  scene.policy->decide();
   scene.now = 100;
   scene.to(106);
   CHECK(scene.trace.str().find("shed never") != std::string::npos);
@@ -616,13 +678,18 @@
 TEST_CASE("shared rates: what is put by stays the same work, and what was borrowed ends by itself") {
   BudgetSettings plan;
   plan.entries = {{"a", "", {}}};
-  plan.entries[0].settings.guarantee.cores = 10, plan.entries[0].settings.burst = 2;
+  plan.entries[0].settings.guarantee.cores = 10;
+  plan.entries[0].settings.burst = 2;
   BudgetTree tree(plan, 0.1);  // one core here
   QueuedCommand item;
-  item.path = {"a", "p"}, item.work = 1.5;
-  tree.add(item, 100), tree.enqueue(item, false, 100);
+  item.path = {"a", "p"};
+  item.work = 1.5;
+  tree.add(item, 100);
+  tree.enqueue(item, false, 100);
   REQUIRE_EQ(tree.selectNext(100), &item);
-  tree.dequeue(item, 100), tree.sendStarted(item, 100);  // of 2 s put by, 0.5 are left
+  // of 2 s put by, 0.5 are left
+  tree.dequeue(item, 100);
+  tree.sendStarted(item, 100);
   const TokenBucket& right = tree.find("a")->guarantee;
   CHECK_EQ(right.balance(100), doctest::Approx(0.5));
   tree.setRate("a", false, 8, 100);
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -42,12 +42,14 @@
       ends.pop();
       ResourceUsage usage{works.at(command), 0};
       command->sendFinished(Outcome::answered, usage.work, true, &usage, nullptr);
-      works.erase(command), held.erase(command);
+      works.erase(command);
+      held.erase(command);
     }
     for (due += arrivals; due >= 1; --due) {
       double work = -std::log(1 - chance.uniform()) * kMean;
       auto command = policy->submit({"quick", "north", chance.next() % 8, {}, work, 0, 5});
-      works[command.get()] = work, held[command.get()] = command;
+      works[command.get()] = work;
+      held[command.get()] = command;
     }
     policy->decide();
   }
@@ -65,11 +67,20 @@
 double most(int gateways, uint64_t seed, double& sum) {
   Settings set;
   Profile quick;
-  quick.name = "quick", quick.latencyTarget = 1, quick.latencyTargetStretch = 2, quick.clientTimeout = 5,
+  quick.name = "quick";
+  quick.latencyTarget = 1;
+  quick.latencyTargetStretch = 2;
+  quick.clientTimeout = 5;
   quick.benefit = 1;
-  set.profiles = {quick}, set.tenants = {{"north", 1, 0}}, set.engineKinds = {{"eight", 8, 0}};
-  set.gatewayCount = gateways, set.maxSends = 3;
-  set.coldCapacity = 0.4, set.coldDuration = 10, set.coldOverloadFactor = 2, set.coldOverloadWindow = 1.5;
+  set.profiles = {quick};
+  set.tenants = {{"north", 1, 0}};
+  set.engineKinds = {{"eight", 8, 0}};
+  set.gatewayCount = gateways;
+  set.maxSends = 3;
+  set.coldCapacity = 0.4;
+  set.coldDuration = 10;
+  set.coldOverloadFactor = 2;
+  set.coldOverloadWindow = 1.5;
   Pcg32 chance(seed);
   std::vector<Landed> landed;
   std::vector<std::unique_ptr<Member>> members;
@@ -103,7 +114,9 @@
   for (auto& one : landed) {  // in the order of time, which is the fleet's
     if (one.at > 103 + set.coldDuration / 2)
       break;  // by then what is allowed has grown
-    in.push_back(one), window += one.work / kMean, sum += one.work;
+    in.push_back(one);
+    window += one.work / kMean;
+    sum += one.work;
     for (; in.front().at <= one.at - set.coldOverloadWindow; in.pop_front())
       window -= in.front().work / kMean;
     worst = std::max(worst, window);
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -16,7 +16,8 @@
 
 LeaseSettings terms(int members, std::vector<double> amounts = {100}) {
   LeaseSettings terms;
-  terms.memberCount = members, terms.quotas = std::move(amounts);
+  terms.memberCount = members;
+  terms.quotas = std::move(amounts);
   return terms;
 }
 const double kOver = 2 + 4 * 0.1;  // seconds: a loan and its guards
@@ -30,12 +31,16 @@
 
 TEST_CASE("what moves to a tenth of the members is usable there within 2 s, and again by all later") {
   Lending fleet(terms(100, {100, 30}), 3);
-  for (int i = 0; i < 100; ++i)
-    fleet.want(i, 0, 0.9), fleet.want(i, 1, 0.2);
+  for (int i = 0; i < 100; ++i) {
+    fleet.want(i, 0, 0.9);
+    fleet.want(i, 1, 0.2);
+  }
   fleet.run(10);
   CHECK_GT(fleet.used(0), 89.9);
-  for (int i = 0; i < 100; ++i)
-    fleet.want(i, 0, i < 10 ? 20 : 0), fleet.want(i, 1, i >= 90 ? 6 : 0);
+  for (int i = 0; i < 100; ++i) {
+    fleet.want(i, 0, i < 10 ? 20 : 0);
+    fleet.want(i, 1, i >= 90 ? 6 : 0);
+  }
   fleet.run(12);
   CHECK_GT(fleet.used(0), 97);  // all but what the others keep
   CHECK_GT(fleet.used(1), 0.97 * 30);
@@ -77,7 +82,8 @@
   fleet.want(0, 0, 90);
   fleet.run(6);
   for (int i = 1; i < 4; ++i) {
-    fleet.kill(i), fleet.start(i);
+    fleet.kill(i);
+    fleet.start(i);
     fleet.want(i, 0, 25);
     CHECK_LE(fleet.usable(i, 0), 25 * 0.02 + 1e-9);
   }
@@ -138,7 +144,8 @@
 
 TEST_CASE("terms: what no loan could hold by is told") {
   LeaseSettings bad = terms(0, {1, 0});
-  bad.guardTime = 1, bad.reservedShare = 2;
+  bad.guardTime = 1;
+  bad.reservedShare = 2;
   auto flaws = validate(bad);
   CHECK_EQ(flaws.size(), 4);
   CHECK(validate(terms(3)).empty());
@@ -151,8 +158,10 @@
     Pcg32 chance{uint64_t(seed)};
     int count = 2 + int(chance.next() % 24);
     Lending fleet(terms(count, {100, 7}), uint64_t(seed), 0.02);
-    fleet.loss = chance.uniformBetween(0, 0.3), fleet.copies = chance.uniformBetween(0, 0.3);
-    fleet.lateShare = chance.uniformBetween(0, 0.5), fleet.late = chance.uniformBetween(0, 6);
+    fleet.loss = chance.uniformBetween(0, 0.3);
+    fleet.copies = chance.uniformBetween(0, 0.3);
+    fleet.lateShare = chance.uniformBetween(0, 0.5);
+    fleet.late = chance.uniformBetween(0, 6);
     auto any = [&] { return int(chance.next() % uint32_t(count)); };
     for (int step = 0; step < 60; ++step) {
       fleet.run(fleet.now() + chance.uniformBetween(0.01, 1));
@@ -162,7 +171,8 @@
           fleet.kill(who);
           break;
         case 1:
-          fleet.kill(who), fleet.start(who);
+          fleet.kill(who);
+          fleet.start(who);
           break;
         case 2:
           fleet.pause(who, chance.next() % 2);
@@ -179,7 +189,8 @@
       fleet.pause(a, false);
       if (!fleet.runs(a))
         fleet.start(a);
-      fleet.want(a, 0, a ? 0 : 200), fleet.want(a, 1, a ? 0 : 200);
+      fleet.want(a, 0, a ? 0 : 200);
+      fleet.want(a, 1, a ? 0 : 200);
       for (int b = 0; b < count; ++b)
         fleet.cut(a, b, false);
     }
--- a/tests/view_cases_test.cpp
+++ b/tests/view_cases_test.cpp
@@ -14,13 +14,15 @@
   for (int i = 0; i < kDispatchers; ++i) {
     Dispatcher before(planOf(kUsers, 24, 4), kDispatchers, i),
         after(planOf(kUsers, 24, 4), kDispatchers + 1, i);
-    before.whole(rows), after.whole(rows);
+    before.whole(rows);
+    after.whole(rows);
     int here = 0;
     for (auto& [id, told] : before.engines)
       here += !after.engines.contains(id);
     for (auto& [id, told] : after.engines)
       gained += told.row.rank.has_value() && !before.engines.contains(id);
-    lost += here, most = std::max(most, here);
+    lost += here;
+    most = std::max(most, here);
   }
   double part =
       double(kEngines) * kUsers / (kDispatchers + 1);  // of the new one: 119, each a view's one entry
@@ -42,8 +44,10 @@
   size_t before = one.engines.size();
   CHECK_EQ(one.view.statistics().depth, kUsers);
   for (auto& [id, told] : one.engines)
-    if (id % 3)
-      one.view.setEjected(id, true), model.unfit.insert(id);
+    if (id % 3) {
+      one.view.setEjected(id, true);
+      model.unfit.insert(id);
+    }
   CHECK_EQ(one.view.nextWakeUp(), kBegin);
   one.take(one.view.tick(kBegin));
   CHECK_EQ(model.broken(one, kBegin, true), "");
@@ -71,15 +75,19 @@
   size_t others = std::ranges::count_if(one.engines, [](auto& told) { return told.second.row.zone == "w"; });
   CHECK_EQ(one.view.statistics().ranksComputed, 1600);
   std::vector<Listing> lost;
-  for (uint32_t id = 4; id <= 1600 - 20; id += 4)
-    lost.push_back(engineOf(id, true, false)), lost.back().row.state = kGone;
+  for (uint32_t id = 4; id <= 1600 - 20; id += 4) {
+    lost.push_back(engineOf(id, true, false));
+    lost.back().row.state = kGone;
+  }
   one.changes(lost);  // five are left
   auto east = [](auto& told) { return told.second.row.zone == "e"; };
   CHECK_EQ(std::ranges::count_if(one.engines, east), 5);
   CHECK_EQ(std::ranges::count_if(one.engines, std::not_fn(east)), others);
   CHECK_LE(one.view.statistics().ranksComputed, 1600 + 5);
-  for (auto& row : lost)
-    row.row.state = kIn, row.bornMs = int64_t(kBegin * 1000);
+  for (auto& row : lost) {
+    row.row.state = kIn;
+    row.bornMs = int64_t(kBegin * 1000);
+  }
   one.changes(lost);  // and back, cold: by the first alone, until they are warm
   for (auto& [id, told] : one.engines)
     CHECK((told.bornMs == 0 || told.row.rank.has_value()));
@@ -206,7 +214,9 @@
     CHECK_EQ(one.view.statistics().ranksComputed, engines);
     CHECK_EQ(one.view.statistics().listed, engines);
     uint64_t told = one.told;
-    one.whole(rows), one.changes({}), one.take(one.view.tick(kBegin + 1));
+    one.whole(rows);
+    one.changes({});
+    one.take(one.view.tick(kBegin + 1));
     for (auto& row : rows)
       row.row.cell = row.row.id % 2 ? 0 : 1;
     one.whole(rows);
@@ -240,7 +250,8 @@
   one.whole(rows);  // of four large ones the places are still needed
   CHECK_EQ(one.view.statistics().ranksComputed, 2000);
   for (int times = 0; times < 2; ++times) {
-    one.whole(enginesOf(4000)), one.until(kBegin + 100, [](double) {});
+    one.whole(enginesOf(4000));
+    one.until(kBegin + 100, [](double) {});
     CHECK_EQ(model.broken(one, kBegin + 100, true), "");
     CHECK_LT(one.view.statistics().rankedEngines, 4000 * 2 * 32 / 400);
     one.whole({});
--- a/tests/view_cold_test.cpp
+++ b/tests/view_cold_test.cpp
@@ -30,11 +30,20 @@
 Settings settingsOf(int dispatchers, int ordinal) {
   Settings set;
   Profile quick;
-  quick.name = "quick", quick.latencyTarget = 1, quick.latencyTargetStretch = 2, quick.clientTimeout = 5,
+  quick.name = "quick";
+  quick.latencyTarget = 1;
+  quick.latencyTargetStretch = 2;
+  quick.clientTimeout = 5;
   quick.benefit = 1;
-  set.profiles = {quick}, set.tenants = {{"north", 1, 0}}, set.engineKinds = {{"eight", 8, 0}};
-  set.gatewayCount = dispatchers, set.ordinal = ordinal, set.maxSends = 3;
-  set.coldCapacity = 0.4, set.coldDuration = kEnd - kStart, set.coldOverloadFactor = 2,
+  set.profiles = {quick};
+  set.tenants = {{"north", 1, 0}};
+  set.engineKinds = {{"eight", 8, 0}};
+  set.gatewayCount = dispatchers;
+  set.ordinal = ordinal;
+  set.maxSends = 3;
+  set.coldCapacity = 0.4;
+  set.coldDuration = kEnd - kStart;
+  set.coldOverloadFactor = 2;
   set.coldOverloadWindow = 1.5;
   return set;
 }
@@ -70,7 +79,10 @@
   void open(const std::vector<Listing>& list) {
     for (; !ends.empty(); ends.pop())
       cold.inHand -= ends.top().isCold;
-    works.clear(), held.clear(), policy.reset(), told = false;
+    works.clear();
+    held.clear();
+    policy.reset();
+    told = false;
     view = std::make_unique<view::EngineSubset>(view::SubsetSettings{kUsers, 4 * kUsers, 8, 0.5, 30},
                                                 settingsOf(dispatchers, number));
     policy = createPolicy(view->localSettings(), seed++, *this);
@@ -98,7 +110,8 @@
     double work = works.at(&command);
     if (node != cold.id || !told)
       return ends.push({now + 3 * work, now, &command, false});
-    ++cold.inHand, cold.landed.push_back({now, work});
+    ++cold.inHand;
+    cold.landed.push_back({now, work});
     ends.push({cold.end(now, work), now, &command, true});
   }
   void shed(Command& command, double) override { works.erase(&command); }
@@ -118,12 +131,14 @@
       double hand = isCold ? cold.inHand : 28, able = 8 * (isCold ? ColdEngine::speed(time) : 1);
       LoadReport report{hand, std::max(0.0, hand - 8), std::min(1.0, hand / able), {}, {}};
       command->sendFinished(Outcome::answered, at - sent, true, &usage, &report);
-      works.erase(command), held.erase(command);
+      works.erase(command);
+      held.erase(command);
     }
     for (due += arrivals; due >= 1; --due) {
       double work = -std::log(1 - chance.uniform()) * mean;
       auto command = policy->submit({"quick", "north", chance.next() % 64, {}, work, 0, 5});
-      works[command.get()] = work, held[command.get()] = command;
+      works[command.get()] = work;
+      held[command.get()] = command;
     }
     policy->decide();
   }
@@ -207,10 +222,15 @@
       its->now = time;
       if (time == 100)
         its->open(before);
-      if (time >= toldAt)
-        its->policy->advanceTo(time + its->off), its->hear({1, true, after}), toldAt = HUGE_VAL;
-      if (time >= restartAt)
-        its->open(its->told ? after : before), restartAt = HUGE_VAL;
+      if (time >= toldAt) {
+        its->policy->advanceTo(time + its->off);
+        its->hear({1, true, after});
+        toldAt = HUGE_VAL;
+      }
+      if (time >= restartAt) {
+        its->open(its->told ? after : before);
+        restartAt = HUGE_VAL;
+      }
       size_t had = cold.landed.size();
       its->step(time, rate * part * kStep, mean, chance);
       bool isCold = time + its->off < kEnd;  // by its own clock
@@ -221,7 +241,8 @@
   double window = 0, sum = 0;
   std::deque<Landed> in;
   for (auto& one : cold.landed) {
-    in.push_back(one), window += one.work / mean;
+    in.push_back(one);
+    window += one.work / mean;
     for (; in.front().at <= one.at - span; in.pop_front())
       window -= in.front().work / mean;
     played.worst = std::max(played.worst, window / (n + 2 * std::sqrt(n) + 2));
--- a/tests/view_scene.h
+++ b/tests/view_scene.h
@@ -22,11 +22,17 @@
 
 inline Settings settingsOf(int dispatchers, int ordinal) {
   Settings set;
-  set.gatewayCount = dispatchers, set.ordinal = ordinal, set.coldDuration = kColdTime;
+  set.gatewayCount = dispatchers;
+  set.ordinal = ordinal;
+  set.coldDuration = kColdTime;
   set.profiles.resize(4);
-  set.profiles[0].name = "any", set.profiles[1].name = "east", set.profiles[2].name = "large";
-  set.profiles[1].allowedZones = {"e"}, set.profiles[2].allowedKinds = {"xxl", "xl"};
-  set.profiles[3].name = "large too", set.profiles[3].allowedKinds = {"xl", "xxl"};
+  set.profiles[0].name = "any";
+  set.profiles[1].name = "east";
+  set.profiles[2].name = "large";
+  set.profiles[1].allowedZones = {"e"};
+  set.profiles[2].allowedKinds = {"xxl", "xl"};
+  set.profiles[3].name = "large too";
+  set.profiles[3].allowedKinds = {"xl", "xxl"};
   set.tenants = {{"north", 1, 100}};
   return set;
 }
@@ -37,8 +43,11 @@
 
 inline Listing engineOf(uint32_t id, bool east, bool large, int64_t bornMs = 0) {
   Listing one;
-  one.row.id = id, one.row.zone = east ? "e" : "w", one.row.kind = large ? "xl" : "std";
-  one.address = {0x0a000000 + id, 4200}, one.bornMs = bornMs;
+  one.row.id = id;
+  one.row.zone = east ? "e" : "w";
+  one.row.kind = large ? "xl" : "std";
+  one.address = {0x0a000000 + id, 4200};
+  one.bornMs = bornMs;
   return one;
 }
 inline std::vector<Listing> enginesOf(uint32_t count) {  // a quarter east, an eighth large
@@ -86,9 +95,11 @@
       if (steps > 2000)
         throw std::logic_error("wakes without an end");
       double now = view.nextWakeUp();
-      take(view.tick(now)), after(now);
+      take(view.tick(now));
+      after(now);
     }
-    take(view.tick(end)), after(end);
+    take(view.tick(end));
+    after(end);
   }
   std::set<uint32_t> inService() const {
     std::set<uint32_t> ids;
@@ -169,7 +180,8 @@
       for (int which = 0; which < kClasses; ++which) {
         if (!serves(which, one))
           continue;
-        allowed |= place < boundOf(which), needed |= usableBefore(which, place, now) < needOf(which);
+        allowed |= place < boundOf(which);
+        needed |= usableBefore(which, place, now) < needOf(which);
         inOrder |= std::ranges::all_of(list, [&](auto& other) {
           return !serves(which, other.second) || other.second.row.state != kIn || cold(other.second, now) ||
                  placeOf(other.first) > place || is.engines.contains(other.first);
--- a/tests/view_test.cpp
+++ b/tests/view_test.cpp
@@ -63,8 +63,10 @@
       for (size_t e = 0; e < ids.size(); ++e)  // a fifth is cold
         if (known[e])
           model.list[ids[e]] = engineOf(ids[e], ids[e] % 2, ids[e] % 3 == 0, ids[e] % 5 ? 0 : born);
-      for (auto& [id, row] : model.list)
-        one.changes({row}), listers[id].insert(i);
+      for (auto& [id, row] : model.list) {
+        one.changes({row});
+        listers[id].insert(i);
+      }
       for (size_t e = 0; e < ids.size(); e += 2)
         one.view.setEjected(ids[e], true);
       one.take(one.view.tick(kBegin));
@@ -132,7 +134,8 @@
           row.row.state = kDraining;
           break;
         case What::restart:
-          row.bornMs = int64_t(now * 1000), row.row.state = kIn,
+          row.bornMs = int64_t(now * 1000);
+          row.row.state = kIn;
           row.address.port = uint16_t(row.address.port + way);
           break;
         case What::move:
@@ -141,9 +144,10 @@
         case What::unfit:
         case What::fit:
           for (auto& [near, told] : one.engines)
-            if (int(near % 8) <= way)
-              one.view.setEjected(near, What(kind) == What::unfit),
-                  What(kind) == What::unfit ? void(model.unfit.insert(near)) : void(model.unfit.erase(near));
+            if (int(near % 8) <= way) {
+              one.view.setEjected(near, What(kind) == What::unfit);
+              What(kind) == What::unfit ? void(model.unfit.insert(near)) : void(model.unfit.erase(near));
+            }
           break;
         case What::wait:
           now += way / 4.0;
@@ -186,10 +190,13 @@
     auto id = *rc::gen::inRange<uint32_t>(1, 600);
     auto rows = enginesOf(400);
     std::vector<Dispatcher> all;
-    for (int i = 0; i < kDispatchers; ++i)
-      all.emplace_back(planOf(8, 16, 4), kDispatchers, i), all[i].whole(rows);
+    for (int i = 0; i < kDispatchers; ++i) {
+      all.emplace_back(planOf(8, 16, 4), kDispatchers, i);
+      all[i].whole(rows);
+    }
     Listing row = engineOf(id, false, false);
-    row.address.port = 1, row.row.state = *rc::gen::element(kIn, kGone, kDraining);
+    row.address.port = 1;
+    row.row.state = *rc::gen::element(kIn, kGone, kDraining);
     int users = 0;
     for (auto& one : all) {
       uint64_t told = one.told;
