--- a/src/lab/hollow_clients.cpp
+++ b/src/lab/hollow_clients.cpp
@@ -4,7 +4,7 @@
 
 #include "lab/hollow.h"
 #include "lab/hollow_loop.h"
-#include "lab/http_answer.h"
+#include "lab/http_response.h"
 #include "runtime/stream.h"
 
 namespace elmcleat::lab {
@@ -30,7 +30,7 @@
   };
   using Held = std::shared_ptr<Line>;
   Loop loop;
-  sockaddr_in to = nativeOf(dispatcher);
+  sockaddr_in to = toSockaddr(dispatcher);
   std::deque<Held> free, checks, asked;  // by time
   size_t idleWanted = 0, idleHeld = 0, coming = 0;
   double rate = 0, owed = 0, last = secondsNow();
@@ -55,7 +55,7 @@
       close(line);
   };
   auto heard = [&](const Held& line) {
-    auto status = takeAnswer(line->in);
+    auto status = takeResponseStatus(line->in);
     if (!status)
       return;
     if (!std::exchange(line->asked, false) || !line->in.empty()) {
--- a/src/view/engine_subset.cpp
+++ b/src/view/engine_subset.cpp
@@ -18,12 +18,12 @@
 }
 
 // Sorted by id. Of several listings of one engine only the last is kept.
-std::vector<const Listing*> lastOfEach(const std::vector<Listing>& rows) {
-  std::vector<const Listing*> last;
+std::vector<const ListedEngine*> lastOfEach(const std::vector<ListedEngine>& rows) {
+  std::vector<const ListedEngine*> last;
   last.reserve(rows.size());
   for (auto& row : rows)
     last.push_back(&row);
-  auto id = [](const Listing* row) { return row->row.id; };
+  auto id = [](const ListedEngine* row) { return row->record.id; };
   if (!std::ranges::is_sorted(last, {}, id))
     std::ranges::stable_sort(last, {}, id);
   auto end = last.begin();
@@ -78,31 +78,31 @@
   return found->second;
 }
 
-EngineSubset::Entry EngineSubset::entryOf(const Listing& listing, double now) {
+EngineSubset::Entry EngineSubset::entryOf(const ListedEngine& listing, double now) {
   Entry entry;
-  entry.id = listing.row.id;
+  entry.id = listing.record.id;
   entry.host = listing.address.host;
   entry.port = listing.address.port;
-  entry.bornMs = listing.bornMs;
-  entry.cell = listing.row.cell;
-  entry.state = listing.row.state;
-  entry.type = typeOf(listing.row.zone, listing.row.kind);
-  entry.cold = entry.bornMs > 0 && now < warmAt(entry.bornMs);
+  entry.startedAtUnixMs = listing.startedAtUnixMs;
+  entry.cell = listing.record.cell;
+  entry.state = listing.record.state;
+  entry.type = typeOf(listing.record.zone, listing.record.kind);
+  entry.cold = entry.startedAtUnixMs > 0 && now < warmAt(entry.startedAtUnixMs);
   return entry;
 }
 
-Listing EngineSubset::listingOf(const Entry& entry) const {
-  Listing listing;
+ListedEngine EngineSubset::listingOf(const Entry& entry) const {
+  ListedEngine listing;
   const EngineType& type = types_[entry.type];
-  listing.row.id = entry.id;
-  listing.row.zone = type.zone;
-  listing.row.kind = type.kind;
-  listing.row.cell = entry.cell;
-  listing.row.state = entry.state;
+  listing.record.id = entry.id;
+  listing.record.zone = type.zone;
+  listing.record.kind = type.kind;
+  listing.record.cell = entry.cell;
+  listing.record.state = entry.state;
   listing.address = {entry.host, entry.port};
-  listing.bornMs = entry.bornMs;
+  listing.startedAtUnixMs = entry.startedAtUnixMs;
   if (entry.rank < baseDepth_)
-    listing.row.rank = entry.rank;
+    listing.record.rank = entry.rank;
   return listing;
 }
 
@@ -129,7 +129,7 @@
   if (entry.state != EngineState::inService)
     return;
   if (entry.cold)
-    update(coldEngines_, std::pair{entry.bornMs, entry.id});
+    update(coldEngines_, std::pair{entry.startedAtUnixMs, entry.id});
   if (entry.ejected || (entry.cold && entry.rank >= baseDepth_))
     return;
   for (size_t classIndex : types_[entry.type].classes)
@@ -146,9 +146,10 @@
   entry.ranked = entry.rank < rankLimit;
 }
 
-void EngineSubset::update(Entry& entry, const Listing& listing, double now) {
+void EngineSubset::update(Entry& entry, const ListedEngine& listing, double now) {
   Entry next = entryOf(listing, now);
-  bool sameInstance = next.host == entry.host && next.port == entry.port && next.bornMs == entry.bornMs;
+  bool sameInstance =
+      next.host == entry.host && next.port == entry.port && next.startedAtUnixMs == entry.startedAtUnixMs;
   if (sameInstance && next.type == entry.type && next.cell == entry.cell && next.state == entry.state)
     return;
   setIndexed(entry, false);
@@ -173,7 +174,7 @@
 
 // The table is merged once per event, which moves 1.4 MB at 44,000 engines. A whole list is compared row by
 // row; an unchanged row costs only that comparison.
-std::vector<Listing> EngineSubset::apply(const ListEvent& event, double now) {
+std::vector<ListedEngine> EngineSubset::apply(const EngineListEvent& event, double now) {
   Changes changes;
   std::vector<Entry> added;
   bool anyRemoved = false;
@@ -182,15 +183,15 @@
     anyRemoved = true;
   };
   auto position = table_.begin();
-  for (const Listing* listing : lastOfEach(event.rows)) {
-    if (event.whole)
-      for (; position != table_.end() && position->id < listing->row.id; ++position)
+  for (const ListedEngine* listing : lastOfEach(event.engines)) {
+    if (event.isFullList)
+      for (; position != table_.end() && position->id < listing->record.id; ++position)
         drop(*position);
     else
-      position = std::lower_bound(position, table_.end(), listing->row.id,
+      position = std::lower_bound(position, table_.end(), listing->record.id,
                                   [](auto& entry, auto id) { return entry.id < id; });
-    bool known = position != table_.end() && position->id == listing->row.id;
-    bool stays = listing->row.state != EngineState::removed;
+    bool known = position != table_.end() && position->id == listing->record.id;
+    bool stays = listing->record.state != EngineState::removed;
     if (known && stays)
       update(*position, *listing, now);
     if (known && !stays)
@@ -203,7 +204,7 @@
     }
     position += known;
   }
-  if (event.whole)
+  if (event.isFullList)
     for (; position != table_.end(); ++position)
       drop(*position);
 
@@ -273,10 +274,10 @@
   if (entry.state == EngineState::inService)
     inUse_ += size_t(int(belongs) - int(entry.inSubset));
   entry.inSubset = belongs;
-  Listing& listing = changes.emplace_back(listingOf(entry));
+  ListedEngine& listing = changes.emplace_back(listingOf(entry));
   if (belongs)
     return;
-  listing.row.state = EngineState::removed;
+  listing.record.state = EngineState::removed;
   // Outside the subset nothing observes the engine, so the ejection is dropped. No class is short of engines
   // at that depth, so none relies on it meanwhile.
   if (entry.ejected) {
@@ -336,7 +337,7 @@
   tickDue_ = true;
 }
 
-std::vector<Listing> EngineSubset::tick(double now) {
+std::vector<ListedEngine> EngineSubset::tick(double now) {
   Changes changes;
   reconcile(now, changes);
   return changes;
--- a/src/view/engine_subset.h
+++ b/src/view/engine_subset.h
@@ -51,11 +51,11 @@
   // dispatcher: engines in the subset as listed, with its rank (no rank: only in the subset because it is
   // widened), and engines that leave the subset, in the state `removed`. A whole list without a change
   // returns nothing.
-  std::vector<Listing> apply(const ListEvent& event, double now);
+  std::vector<ListedEngine> apply(const EngineListEvent& event, double now);
   // Reports the module's outlier detection. Takes effect in tick().
   void setEjected(uint32_t engine, bool ejected);
-  std::vector<Listing> tick(double now);  // call at nextWakeUp(), and after setEjected()
-  double nextWakeUp() const;              // HUGE_VAL: only after another call
+  std::vector<ListedEngine> tick(double now);  // call at nextWakeUp(), and after setEjected()
+  double nextWakeUp() const;                   // HUGE_VAL: only after another call
 
   // Log lines on classes that cannot be served although the list has engines for them. Each class is reported
   // once until it can be served again.
@@ -70,7 +70,7 @@
     int rankLimit = 0;            // ranks are computed up to it
   };
   struct Entry {  // an engine of the list, in the subset or not
-    int64_t bornMs = 0;
+    int64_t startedAtUnixMs = 0;
     uint32_t id = 0;
     uint32_t host = 0;
     int cell = 0;
@@ -87,15 +87,17 @@
   };
   // Bounds the memory: with the reserve of vectors and rankedEngines_ it is well within 64 bytes an engine.
   static_assert(sizeof(Entry) == 32);
-  using Changes = std::vector<Listing>;
+  using Changes = std::vector<ListedEngine>;
 
   uint16_t typeOf(const std::string& zone, const std::string& kind);
-  Entry entryOf(const Listing& listing, double now);
-  Listing listingOf(const Entry& entry) const;
+  Entry entryOf(const ListedEngine& listing, double now);
+  ListedEngine listingOf(const Entry& entry) const;
   Entry* find(uint32_t id);
-  double warmAt(int64_t bornMs) const { return double(bornMs) / 1000 + settings_.coldDuration; }
+  double warmAt(int64_t startedAtUnixMs) const {
+    return double(startedAtUnixMs) / 1000 + settings_.coldDuration;
+  }
 
-  void update(Entry& entry, const Listing& listing, double now);
+  void update(Entry& entry, const ListedEngine& listing, double now);
   void remove(Entry& entry, Changes& changes);
   void countListed(const Entry& entry, int by);  // in (1) or out (-1) of the engines in service
   void setIndexed(Entry& entry, bool indexed);   // in rankedEngines_, coldEngines_ and depths_
