--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -1,4 +1,4 @@
-// Budgets and waits: the pure cores by themselves, and the module that heeds them.
+// BudgetTree and WaitEstimator on their own, and the module scheduling by them.
 #include <rapidcheck.h>
 
 #include <cmath>
@@ -14,168 +14,170 @@
 
 namespace {
 
-NodeEntry entry(const std::string& name, double guarantee, double weight = 1, int priority = 1) {
-  NodeEntry made{name, "", {}};
+NodeEntry makeEntry(const std::string& name, double guarantee, double weight = 1, int priority = 1) {
+  NodeEntry entry{name, "", {}};
   if (guarantee > 0)
-    made.settings.guarantee.cores = guarantee;
-  made.settings.weight = weight;
-  made.settings.priority = priority;
-  made.settings.agingThreshold = 1e6;
-  return made;
+    entry.settings.guarantee.cores = guarantee;
+  entry.settings.weight = weight;
+  entry.settings.priority = priority;
+  entry.settings.agingThreshold = 1e6;
+  return entry;
 }
-BudgetSettings planOf(std::vector<NodeEntry> entries) {
-  BudgetSettings plan;
-  plan.entries = std::move(entries);
-  plan.defaults.agingThreshold = 1000;
-  return plan;
+BudgetSettings settingsWith(std::vector<NodeEntry> entries) {
+  BudgetSettings budgetSettings;
+  budgetSettings.entries = std::move(entries);
+  budgetSettings.defaults.agingThreshold = 1000;
+  return budgetSettings;
 }
 
-// A stage for the tree: commands of teams, held in numbers, started one after another by a machine of one core.
-struct Stage {
-  explicit Stage(const BudgetSettings& plan) : tree(plan, 1) {}
-  QueuedCommand& come(std::vector<std::string> actor, double work = 0.1) {
-    QueuedCommand& item = *items.emplace_back(std::make_unique<QueuedCommand>());
-    item.path = std::move(actor);
-    item.path.push_back("report");
-    item.work = work;
-    tree.add(item, now);
-    tree.enqueue(item, false, now);
-    return item;
+// Runs the commands of several teams through a tree, one after another, as an engine with one core would.
+struct TreeHarness {
+  explicit TreeHarness(const BudgetSettings& budgetSettings) : tree(budgetSettings, 1) {}
+  QueuedCommand& arrive(std::vector<std::string> path, double work = 0.1) {
+    QueuedCommand& command = *items.emplace_back(std::make_unique<QueuedCommand>());
+    command.path = std::move(path);
+    command.path.push_back("report");
+    command.work = work;
+    tree.add(command, now);
+    tree.enqueue(command, false, now);
+    return command;
   }
-  // Starts what the tree says, and ends it at once after its work; false: nobody may start.
-  bool serve(double billed = 0) {
-    QueuedCommand* item = tree.selectNext(now);
-    if (!item)
+  // Runs the command that the tree selects; false if no command may start.
+  bool runNext(double billed = 0) {
+    QueuedCommand* command = tree.selectNext(now);
+    if (!command)
       return false;
-    tree.dequeue(*item, now);
-    tree.sendStarted(*item, now);
-    now += item->work;
-    done[item->path[0]] += item->work;
-    order.push_back(item);
-    tree.sendFinished(*item, billed, now);
-    tree.remove(*item, now);
+    tree.dequeue(*command, now);
+    tree.sendStarted(*command, now);
+    now += command->work;
+    workByTeam[command->path[0]] += command->work;
+    startOrder.push_back(command);
+    tree.sendFinished(*command, billed, now);
+    tree.remove(*command, now);
     return true;
   }
-  double part(const std::string& team) {
+  double shareOf(const std::string& team) {
     double all = 0;
-    for (auto& [name, work] : done)
+    for (auto& [name, work] : workByTeam)
       all += work;
-    return done[team] / all;
+    return workByTeam[team] / all;
   }
   double now = 0;
   std::vector<std::unique_ptr<QueuedCommand>> items;
-  std::map<std::string, double> done;
-  std::vector<QueuedCommand*> order;
+  std::map<std::string, double> workByTeam;
+  std::vector<QueuedCommand*> startOrder;
   BudgetTree tree;
 };
 
 }  // namespace
 
-TEST_CASE("what is left is borrowed by weight, a guarantee comes first, and what is unused is lent") {
-  Stage stage(planOf({entry("a", 0.5), entry("b", 0, 3), entry("c", 0, 1)}));
+TEST_CASE("guarantees come first, the rest is borrowed by weight, and an unused guarantee is lent") {
+  TreeHarness harness(settingsWith({makeEntry("a", 0.5), makeEntry("b", 0, 3), makeEntry("c", 0, 1)}));
   for (int i = 0; i < 1000; ++i) {
-    stage.come({"a"});
-    stage.come({"b"});
-    stage.come({"c"}, 0.2);
+    harness.arrive({"a"});
+    harness.arrive({"b"});
+    harness.arrive({"c"}, 0.2);
   }
-  while (stage.now < 40)
-    REQUIRE(stage.serve());
-  // a: its half, and a fifth of the other half by weight 1 of 5.
-  CHECK_EQ(stage.part("a"), doctest::Approx(0.6).epsilon(0.05));
-  CHECK_EQ(stage.part("b"), doctest::Approx(0.3).epsilon(0.05));
-  CHECK_EQ(stage.part("c"), doctest::Approx(0.1).epsilon(0.1));
-
-  Stage alone(planOf({entry("a", 0.5), entry("b", 0)}));
+  while (harness.now < 40)
+    REQUIRE(harness.runNext());
+  // a: the guaranteed half, and a fifth of the other half by its weight, 1 of 5.
+  CHECK_EQ(harness.shareOf("a"), doctest::Approx(0.6).epsilon(0.05));
+  CHECK_EQ(harness.shareOf("b"), doctest::Approx(0.3).epsilon(0.05));
+  CHECK_EQ(harness.shareOf("c"), doctest::Approx(0.1).epsilon(0.1));
+
+  TreeHarness alone(settingsWith({makeEntry("a", 0.5), makeEntry("b", 0)}));
   for (int i = 0; i < 100; ++i)
-    alone.come({"b"});
-  while (alone.serve()) {
+    alone.arrive({"b"});
+  while (alone.runNext()) {
   }
-  CHECK_EQ(alone.part("b"), 1);  // nobody else is there
+  CHECK_EQ(alone.shareOf("b"), 1);  // no other team has commands
   CHECK_EQ(alone.now, doctest::Approx(10));
 }
 
-TEST_CASE("a team that comes back after an idle hour has its guarantee at the next pick") {
-  Stage stage(planOf({entry("a", 0.5), entry("b", 0)}));
+TEST_CASE("a team that returns after an idle hour gets its guarantee at the next selection") {
+  TreeHarness harness(settingsWith({makeEntry("a", 0.5), makeEntry("b", 0)}));
   for (int i = 0; i < 100; ++i)
-    stage.come({"b"});
-  stage.now = 3600;
+    harness.arrive({"b"});
+  harness.now = 3600;
   for (int i = 0; i < 20; ++i)
-    stage.serve();
-  QueuedCommand& back = stage.come({"a"});
-  stage.serve();
-  CHECK_EQ(stage.order.back(), &back);
-  // It has put by no more than its burst, a second of half a core: not an hour of it.
+    harness.runNext();
+  QueuedCommand& back = harness.arrive({"a"});
+  harness.runNext();
+  CHECK_EQ(harness.startOrder.back(), &back);
+  // Its credit is limited to its burst, a second of half a core, not an hour of it.
   for (int i = 0; i < 100; ++i)
-    stage.come({"a"});
-  stage.done.clear();
-  double from = stage.now;
-  while (stage.now < from + 4)
-    stage.serve();
-  CHECK_LT(stage.done["a"], 0.5 * 4 + 0.5 + 0.5 * 0.5 * 4 + 0.2);
-  CHECK_GT(stage.done["b"], 0.5);
+    harness.arrive({"a"});
+  harness.workByTeam.clear();
+  double from = harness.now;
+  while (harness.now < from + 4)
+    harness.runNext();
+  CHECK_LT(harness.workByTeam["a"], 0.5 * 4 + 0.5 + 0.5 * 0.5 * 4 + 0.2);
+  CHECK_GT(harness.workByTeam["b"], 0.5);
 }
 
-TEST_CASE("a guarantee holds for a user whose team has none, and within a team by weight") {
-  BudgetSettings plan = planOf({entry("team", 0), entry("team/u1", 0.5), entry("other", 0, 4)});
-  Stage stage(plan);
+TEST_CASE("a guarantee of a user holds although its team has none; the team borrows by weight") {
+  BudgetSettings budgetSettings =
+      settingsWith({makeEntry("team", 0), makeEntry("team/u1", 0.5), makeEntry("other", 0, 4)});
+  TreeHarness harness(budgetSettings);
   for (int i = 0; i < 1000; ++i) {
-    stage.come({"team", "u1"});
-    stage.come({"team", "u2"});
-    stage.come({"other"});
+    harness.arrive({"team", "u1"});
+    harness.arrive({"team", "u2"});
+    harness.arrive({"other"});
   }
-  while (stage.now < 40)
-    stage.serve();
+  while (harness.now < 40)
+    harness.runNext();
   std::map<std::string, double> users;
-  for (QueuedCommand* item : stage.order)
-    users[item->path.size() > 2 ? item->path[1] : "other"] += item->work;
-  CHECK_GE(users["u1"] / stage.now, 0.5);
-  CHECK_EQ(users["other"] / stage.now, doctest::Approx(0.4).epsilon(0.05));  // four fifths of the other half
-  CHECK_EQ(users["u2"] / stage.now, doctest::Approx(0.05).epsilon(0.1));
+  for (QueuedCommand* command : harness.startOrder)
+    users[command->path.size() > 2 ? command->path[1] : "other"] += command->work;
+  CHECK_GE(users["u1"] / harness.now, 0.5);
+  CHECK_EQ(users["other"] / harness.now,
+           doctest::Approx(0.4).epsilon(0.05));  // four fifths of the other half
+  CHECK_EQ(users["u2"] / harness.now, doctest::Approx(0.05).epsilon(0.1));
 }
 
-TEST_CASE("a ceiling holds on the whole, also one below a single command's cost") {
-  NodeEntry capped = entry("a", 0);
+TEST_CASE("a ceiling holds on average, even if a single command costs more") {
+  NodeEntry capped = makeEntry("a", 0);
   capped.settings.ceiling.cores = 0.01;  // a command of 0.1 s every 10 s
-  Stage stage(planOf({capped}));
+  TreeHarness harness(settingsWith({capped}));
   for (int i = 0; i < 10; ++i)
-    stage.come({"a"});
+    harness.arrive({"a"});
   int started = 0;
-  for (stage.now = 0; stage.now < 60; stage.now += 0.5)
-    while (stage.serve())
+  for (harness.now = 0; harness.now < 60; harness.now += 0.5)
+    while (harness.runNext())
       ++started;
   CHECK_GE(started, 5);
   CHECK_LE(started, 7);
-  CHECK_GT(stage.tree.nextWakeUp(stage.now), stage.now);
-  CHECK_LT(stage.tree.nextWakeUp(stage.now), stage.now + 10.1);
-
-  NodeEntry none = entry("a", 0);
-  none.settings.ceiling.cores = 0;  // nothing at all, and no spinning
-  Stage shut(planOf({none}));
-  shut.come({"a"});
-  CHECK_FALSE(shut.serve());
-  CHECK_EQ(shut.tree.nextWakeUp(0), HUGE_VAL);
+  CHECK_GT(harness.tree.nextWakeUp(harness.now), harness.now);
+  CHECK_LT(harness.tree.nextWakeUp(harness.now), harness.now + 10.1);
+
+  NodeEntry none = makeEntry("a", 0);
+  none.settings.ceiling.cores = 0;  // no command ever starts, and no wake-up is scheduled
+  TreeHarness blocked(settingsWith({none}));
+  blocked.arrive({"a"});
+  CHECK_FALSE(blocked.runNext());
+  CHECK_EQ(blocked.tree.nextWakeUp(0), HUGE_VAL);
 }
 
-TEST_CASE("ceilings on sends and memory open with an ending") {
-  NodeEntry capped = entry("a", 0);
+TEST_CASE("a finished command makes room below ceilings on sends and memory") {
+  NodeEntry capped = makeEntry("a", 0);
   capped.settings.ceiling.sends = 2;
   capped.settings.ceiling.memoryMb = 100;
-  BudgetTree tree(planOf({capped}), 1);
+  BudgetTree tree(settingsWith({capped}), 1);
   std::deque<QueuedCommand> items(5);
-  for (auto& item : items) {
-    item.path = {"a", "report"};
-    item.work = 1;
-    item.memoryMb = 40;
-    tree.add(item, 0);
-    tree.enqueue(item, false, 0);
+  for (auto& command : items) {
+    command.path = {"a", "report"};
+    command.work = 1;
+    command.memoryMb = 40;
+    tree.add(command, 0);
+    tree.enqueue(command, false, 0);
   }
   auto start = [&] {
-    QueuedCommand* item = tree.selectNext(0);
-    if (item) {
-      tree.dequeue(*item, 0);
-      tree.sendStarted(*item, 0);
+    QueuedCommand* command = tree.selectNext(0);
+    if (command) {
+      tree.dequeue(*command, 0);
+      tree.sendStarted(*command, 0);
     }
-    return item;
+    return command;
   };
   QueuedCommand* first = start();
   REQUIRE(first);
@@ -186,255 +188,261 @@
   CHECK_FALSE(start());
 }
 
-TEST_CASE("priority goes first among who borrows, and ageing lets nobody starve: the bound holds") {
-  // Property: with any mix, an old command starts within (W + w) / (agedPart R) of its ageing time.
-  bool holds = rc::check("the bound of the lane of the old", [] {
+TEST_CASE("borrowers start by priority, and aging keeps the stated bound on starvation") {
+  // Property: with any mix, an aged command starts within (W + w) / (agedShare R) of its aging threshold.
+  bool holds = rc::check("aged commands start within the bound", [] {
     int seed = *rc::gen::inRange(0, 1 << 20);
-    Pcg32 chance(static_cast<uint64_t>(seed));
-    BudgetSettings plan = planOf({entry("high", 0, 1, 5), entry("sure", 0.5), entry("low", 0, 1, 0)});
-    plan.agedShare = 0.1 + 0.3 * chance.uniform();
-    for (auto& one : plan.entries)
+    Pcg32 random(static_cast<uint64_t>(seed));
+    BudgetSettings budgetSettings =
+        settingsWith({makeEntry("high", 0, 1, 5), makeEntry("sure", 0.5), makeEntry("low", 0, 1, 0)});
+    budgetSettings.agedShare = 0.1 + 0.3 * random.uniform();
+    for (auto& one : budgetSettings.entries)
       one.settings.agingThreshold = 2;
-    Stage stage(plan);
-    // The machine does a second of work a second; twice as much comes, most of it of high priority.
+    TreeHarness harness(budgetSettings);
+    // The engine does a second of work per second; twice as much arrives, most of it with high priority.
     double comes = 0;
     size_t seen = 0;
-    while (stage.now < 30) {
-      while (comes <= stage.now) {
-        double work = chance.uniformBetween(0.02, 0.2);
-        double who = chance.uniform();
-        auto& item = stage.come({who < 0.7 ? "high" : who < 0.9 ? "sure" : "low"}, work);
-        item.queuedSince = comes;  // it came while the one before ran
+    while (harness.now < 30) {
+      while (comes <= harness.now) {
+        double work = random.uniformBetween(0.02, 0.2);
+        double who = random.uniform();
+        auto& command = harness.arrive({who < 0.7 ? "high" : who < 0.9 ? "sure" : "low"}, work);
+        command.queuedSince = comes;  // it arrived while the previous command ran
         comes += work / 2;
       }
-      stage.serve();
-      for (; seen < stage.order.size(); ++seen) {
-        QueuedCommand* item = stage.order[seen];
-        double wait = item->startedAt - item->queuedSince;
-        // W: the work, of what was older, that had not started when it became old.
+      harness.runNext();
+      for (; seen < harness.startOrder.size(); ++seen) {
+        QueuedCommand* command = harness.startOrder[seen];
+        double wait = command->startedAt - command->queuedSince;
+        // W: the work of older commands that had not started when this one passed its aging threshold.
         double older = 0;
-        for (auto& other : stage.items)
-          if (other->arrivalNumber < item->arrivalNumber &&
-              (other->queued || other->startedAt > item->queuedSince + 2))
+        for (auto& other : harness.items)
+          if (other->arrivalNumber < command->arrivalNumber &&
+              (other->queued || other->startedAt > command->queuedSince + 2))
             older += other->work;
-        double bound = 2 + (older + 0.2) / plan.agedShare + 0.2;
+        double bound = 2 + (older + 0.2) / budgetSettings.agedShare + 0.2;
         RC_ASSERT(wait <= bound);
       }
     }
-    RC_ASSERT(stage.done["low"] > 0);
+    RC_ASSERT(harness.workByTeam["low"] > 0);
   });
   CHECK(holds);
 }
 
-TEST_CASE("without the lane of the old the lowest priority would starve") {
-  BudgetSettings plan = planOf({entry("high", 0, 1, 5), entry("low", 0, 1, 0)});
-  Stage stage(plan);
-  stage.come({"low"});
+TEST_CASE("without aging the lowest priority starves") {
+  BudgetSettings budgetSettings = settingsWith({makeEntry("high", 0, 1, 5), makeEntry("low", 0, 1, 0)});
+  TreeHarness harness(budgetSettings);
+  harness.arrive({"low"});
   for (int i = 0; i < 50; ++i)
-    stage.come({"high"});
+    harness.arrive({"high"});
   for (int i = 0; i < 50; ++i)
-    stage.serve();
-  CHECK_EQ(stage.done.count("low"), 0);  // its ageing time of 1,000 s is far
+    harness.runNext();
+  CHECK_EQ(harness.workByTeam.count("low"), 0);  // its aging threshold of 1,000 s is not reached
 }
 
-TEST_CASE("a team whose commands cost 20 times their estimate pays for what they cost") {
-  Stage stage(planOf({entry("honest", 0), entry("liar", 0)}));
+TEST_CASE("a team whose commands cost 20 times their estimate is charged for the real cost") {
+  TreeHarness harness(settingsWith({makeEntry("honest", 0), makeEntry("liar", 0)}));
   for (int i = 0; i < 2000; ++i) {
-    stage.come({"honest"}, 0.1);
-    stage.come({"liar"}, 0.01);
+    harness.arrive({"honest"}, 0.1);
+    harness.arrive({"liar"}, 0.01);
   }
   std::map<std::string, double> real;
-  while (stage.now < 200) {
-    QueuedCommand* item = stage.tree.selectNext(stage.now);
-    REQUIRE(item);
-    stage.tree.dequeue(*item, stage.now);
-    stage.tree.sendStarted(*item, stage.now);
-    double cost = item->work * (item->path[0] == "liar" ? 20 : 1);
-    stage.now += cost;
-    real[item->path[0]] += cost;
-    stage.tree.sendFinished(*item, cost, stage.now);
-    stage.tree.remove(*item, stage.now);
+  while (harness.now < 200) {
+    QueuedCommand* command = harness.tree.selectNext(harness.now);
+    REQUIRE(command);
+    harness.tree.dequeue(*command, harness.now);
+    harness.tree.sendStarted(*command, harness.now);
+    double cost = command->work * (command->path[0] == "liar" ? 20 : 1);
+    harness.now += cost;
+    real[command->path[0]] += cost;
+    harness.tree.sendFinished(*command, cost, harness.now);
+    harness.tree.remove(*command, harness.now);
   }
   CHECK_EQ(real["liar"] / real["honest"], doctest::Approx(1).epsilon(0.1));
 }
 
-TEST_CASE("thousands of users with one command each leave nothing behind") {
-  BudgetSettings plan = planOf({entry("team", 0)});
-  plan.maxNodes = 500;
-  plan.idleTimeout = 5;
-  Stage stage(plan);
+TEST_CASE("nodes of thousands of users with one command each are evicted") {
+  BudgetSettings budgetSettings = settingsWith({makeEntry("team", 0)});
+  budgetSettings.maxNodes = 500;
+  budgetSettings.idleTimeout = 5;
+  TreeHarness harness(budgetSettings);
   for (int i = 0; i < 20'000; ++i) {
-    stage.come({"team", "user" + std::to_string(i)}, 0.001);
+    harness.arrive({"team", "user" + std::to_string(i)}, 0.001);
     if (i % 3 == 0)
-      stage.come({"stranger" + std::to_string(i)}, 0.001);
+      harness.arrive({"stranger" + std::to_string(i)}, 0.001);
     if (i % 100 > 50)
-      stage.serve();  // up to hundreds are held, beyond the bound as well
-    CHECK_LE(stage.tree.size(), 500 + 4);
+      harness.runNext();  // hundreds are queued, also beyond the node limit
+    CHECK_LE(harness.tree.size(), 500 + 4);
   }
-  size_t held = stage.tree.root().queued, served = 0;
-  while (stage.serve())
+  size_t held = harness.tree.root().queued, served = 0;
+  while (harness.runNext())
     ++served;
   CHECK_EQ(served, held);
-  stage.now += 100;
-  stage.come({"team", "last"});
-  CHECK_LE(stage.tree.size(), 6);
+  harness.now += 100;
+  harness.arrive({"team", "last"});
+  CHECK_LE(harness.tree.size(), 6);
 }
 
-TEST_CASE("budgets change with commands held and out, and rows go from under them") {
-  BudgetSettings before = planOf({entry("a", 0.5), entry("b", 0), entry("b/u", 0.2)});
-  Stage stage(before);
+TEST_CASE("reconfiguration with queued and running commands, also of entries that are removed") {
+  BudgetSettings before = settingsWith({makeEntry("a", 0.5), makeEntry("b", 0), makeEntry("b/u", 0.2)});
+  TreeHarness harness(before);
   std::set<QueuedCommand*> held;
   for (int i = 0; i < 50; ++i) {
-    held.insert(&stage.come({"a"}));
-    held.insert(&stage.come({"b", "u"}));
+    held.insert(&harness.arrive({"a"}));
+    held.insert(&harness.arrive({"b", "u"}));
   }
-  QueuedCommand* out = stage.tree.selectNext(stage.now);
-  stage.tree.dequeue(*out, stage.now);
-  stage.tree.sendStarted(*out, stage.now);
+  QueuedCommand* out = harness.tree.selectNext(harness.now);
+  harness.tree.dequeue(*out, harness.now);
+  harness.tree.sendStarted(*out, harness.now);
   held.erase(out);
-  NodeEntry moved = entry("b", 0.9);
+  NodeEntry moved = makeEntry("b", 0.9);
   moved.parent = "org";
-  stage.tree.reconfigure(planOf({entry("org", 0.9), moved}), 1, 0.05);
-  CHECK_EQ(stage.tree.root().queued, held.size());
-  CHECK_EQ(stage.tree.root().sends, 1);
-  REQUIRE(stage.tree.find("b"));
-  CHECK_EQ(stage.tree.find("b")->parent, stage.tree.find("org"));
-  CHECK_FALSE(stage.tree.find("a")->configured);
-  stage.tree.sendFinished(*out, 0, stage.now);
-  stage.tree.remove(*out, stage.now);
-  stage.now = 0.1;
+  harness.tree.reconfigure(settingsWith({makeEntry("org", 0.9), moved}), 1, 0.05);
+  CHECK_EQ(harness.tree.root().queued, held.size());
+  CHECK_EQ(harness.tree.root().sends, 1);
+  REQUIRE(harness.tree.find("b"));
+  CHECK_EQ(harness.tree.find("b")->parent, harness.tree.find("org"));
+  CHECK_FALSE(harness.tree.find("a")->configured);
+  harness.tree.sendFinished(*out, 0, harness.now);
+  harness.tree.remove(*out, harness.now);
+  harness.now = 0.1;
   std::map<std::string, uint64_t> last;
   for (int i = 0; i < 40; ++i) {
-    stage.serve();
-    QueuedCommand* item = stage.order.back();
-    CHECK_EQ(held.erase(item), 1);
-    CHECK_GT(item->arrivalNumber,
-             std::exchange(last[item->path[0]], item->arrivalNumber));  // still first in, first out
+    harness.runNext();
+    QueuedCommand* command = harness.startOrder.back();
+    CHECK_EQ(held.erase(command), 1);
+    CHECK_GT(command->arrivalNumber,
+             std::exchange(last[command->path[0]], command->arrivalNumber));  // the order is kept
   }
-  CHECK_GT(stage.done["b"], 3 * stage.done["a"]);  // the new guarantee counts
-  while (stage.serve())
-    held.erase(stage.order.back());
+  CHECK_GT(harness.workByTeam["b"], 3 * harness.workByTeam["a"]);  // the new guarantee is in force
+  while (harness.runNext())
+    held.erase(harness.startOrder.back());
   CHECK(held.empty());
 }
 
-TEST_CASE("whatever happens, each held command gets its turn once, in its leaf's order") {
-  bool holds = rc::check("the tree loses and doubles nothing", [] {
-    Pcg32 chance(static_cast<uint64_t>(*rc::gen::inRange(0, 1 << 20)));
-    BudgetSettings plan;
-    plan.maxNodes = 16;
+TEST_CASE("in random sequences each queued command is started exactly once, in the order of its leaf") {
+  bool holds = rc::check("the tree neither loses nor duplicates commands", [] {
+    Pcg32 random(static_cast<uint64_t>(*rc::gen::inRange(0, 1 << 20)));
+    BudgetSettings budgetSettings;
+    budgetSettings.maxNodes = 16;
     for (int i = 0; i < 6; ++i) {
-      NodeEntry one = entry("t" + std::to_string(i), chance.uniform() < 0.5 ? chance.uniform() : 0,
-                            0.5 + chance.uniform(), int(chance.next() % 4));
-      if (i > 0 && chance.uniform() < 0.3)
-        one.parent = "t" + std::to_string(chance.next() % uint32_t(i));
-      if (chance.uniform() < 0.3)
+      NodeEntry one = makeEntry("t" + std::to_string(i), random.uniform() < 0.5 ? random.uniform() : 0,
+                                0.5 + random.uniform(), int(random.next() % 4));
+      if (i > 0 && random.uniform() < 0.3)
+        one.parent = "t" + std::to_string(random.next() % uint32_t(i));
+      if (random.uniform() < 0.3)
         one.settings.ceiling.cores = one.settings.guarantee.cores.value_or(0) + 0.2;
-      if (chance.uniform() < 0.3)
-        one.settings.ceiling.sends = 1 + chance.next() % 3;
-      one.settings.agingThreshold = chance.uniformBetween(0.1, 3);
-      plan.entries.push_back(one);
+      if (random.uniform() < 0.3)
+        one.settings.ceiling.sends = 1 + random.next() % 3;
+      one.settings.agingThreshold = random.uniformBetween(0.1, 3);
+      budgetSettings.entries.push_back(one);
     }
-    RC_ASSERT(validate(plan).size() < 20);
-    BudgetTree tree(plan, 1);
+    RC_ASSERT(validate(budgetSettings).size() < 20);
+    BudgetTree tree(budgetSettings, 1);
     std::vector<std::unique_ptr<QueuedCommand>> items;
     std::vector<QueuedCommand*> out;
     size_t held = 0;
     double now = 0;
     for (int step = 0; step < 400; ++step) {
-      now += chance.uniformBetween(0, 0.2);
-      if (step % 150 == 149) {  // a change, in the midst of it
-        plan.entries[chance.next() % plan.entries.size()].settings.weight = chance.uniformBetween(0.1, 9);
-        tree.reconfigure(plan, 1, now);
+      now += random.uniformBetween(0, 0.2);
+      if (step % 150 == 149) {  // reconfigured meanwhile
+        budgetSettings.entries[random.next() % budgetSettings.entries.size()].settings.weight =
+            random.uniformBetween(0.1, 9);
+        tree.reconfigure(budgetSettings, 1, now);
       }
-      double what = chance.uniform();
+      double what = random.uniform();
       if (what < 0.45) {
-        QueuedCommand& item = *items.emplace_back(std::make_unique<QueuedCommand>());
-        item.path = {"t" + std::to_string(chance.next() % 9), "u" + std::to_string(chance.next() % 5), "p"};
-        item.work = chance.uniformBetween(0.01, 0.5);
-        item.memoryMb = 10;
-        tree.add(item, now);
-        tree.enqueue(item, false, now);
+        QueuedCommand& command = *items.emplace_back(std::make_unique<QueuedCommand>());
+        command.path = {"t" + std::to_string(random.next() % 9), "u" + std::to_string(random.next() % 5),
+                        "p"};
+        command.work = random.uniformBetween(0.01, 0.5);
+        command.memoryMb = 10;
+        tree.add(command, now);
+        tree.enqueue(command, false, now);
         ++held;
       } else if (what < 0.8) {
-        QueuedCommand* item = tree.selectNext(now);
-        if (!item)
+        QueuedCommand* command = tree.selectNext(now);
+        if (!command)
           continue;
-        RC_ASSERT(item->queued && !item->running);
-        if (chance.uniform() < 0.4) {
-          tree.postpone(*item, chance.uniformBetween(0.02, 0.1), now);
+        RC_ASSERT(command->queued && !command->running);
+        if (random.uniform() < 0.4) {
+          tree.postpone(*command, random.uniformBetween(0.02, 0.1), now);
           continue;
         }
-        tree.dequeue(*item, now);
-        tree.sendStarted(*item, now);
+        tree.dequeue(*command, now);
+        tree.sendStarted(*command, now);
         --held;
-        out.push_back(item);
+        out.push_back(command);
       } else if (!out.empty()) {
-        std::swap(out[chance.next() % out.size()], out.back());
-        QueuedCommand* item = out.back();
+        std::swap(out[random.next() % out.size()], out.back());
+        QueuedCommand* command = out.back();
         out.pop_back();
-        tree.sendFinished(*item, chance.uniformBetween(0.01, 1), now);
-        if (chance.uniform() < 0.3) {
-          // goes again
-          tree.enqueue(*item, true, now);
+        tree.sendFinished(*command, random.uniformBetween(0.01, 1), now);
+        if (random.uniform() < 0.3) {
+          // queued again
+          tree.enqueue(*command, true, now);
           ++held;
         } else
-          tree.remove(*item, now);
+          tree.remove(*command, now);
       }
       RC_ASSERT(tree.root().queued == held);
       RC_ASSERT(tree.root().sends == double(out.size()));
-      RC_ASSERT(tree.size() <= plan.maxNodes + 2 * plan.entries.size() + 1);
+      RC_ASSERT(tree.size() <= budgetSettings.maxNodes + 2 * budgetSettings.entries.size() + 1);
     }
-    for (QueuedCommand* item : out) {
-      tree.sendFinished(*item, 0, now);
-      tree.remove(*item, now);
+    for (QueuedCommand* command : out) {
+      tree.sendFinished(*command, 0, now);
+      tree.remove(*command, now);
     }
-    for (int step = 0; step < 20'000 && held > 0; ++step) {  // all that may run does, in the end
-      QueuedCommand* item = tree.selectNext(now);
-      if (!item) {
+    for (int step = 0; step < 20'000 && held > 0; ++step) {  // everything that may run does eventually
+      QueuedCommand* command = tree.selectNext(now);
+      if (!command) {
         now = std::max(now + 1e-6, tree.nextWakeUp(now));
         RC_ASSERT(now < HUGE_VAL);
         continue;
       }
-      tree.dequeue(*item, now);
-      tree.sendStarted(*item, now);
+      tree.dequeue(*command, now);
+      tree.sendStarted(*command, now);
       --held;
-      tree.sendFinished(*item, 0, now);
-      tree.remove(*item, now);
+      tree.sendFinished(*command, 0, now);
+      tree.remove(*command, now);
     }
     RC_ASSERT(held == 0);
   });
   CHECK(holds);
 }
 
-TEST_CASE("what borrows gives way to a guarantee that has waited, the least priority and the latest first") {
-  BudgetSettings plan = planOf({entry("sure", 1), entry("x", 0, 1, 2), entry("y", 0, 1, 1)});
-  BudgetTree tree(plan, 1);
+TEST_CASE(
+    "borrowed sends are preempted for a guarantee that has waited, the lowest priority and the latest start "
+    "first") {
+  BudgetSettings budgetSettings =
+      settingsWith({makeEntry("sure", 1), makeEntry("x", 0, 1, 2), makeEntry("y", 0, 1, 1)});
+  BudgetTree tree(budgetSettings, 1);
   std::deque<QueuedCommand> items(4);
-  auto come = [&](size_t i, const char* team, double now) {
+  auto arrive = [&](size_t i, const char* team, double now) {
     items[i].path = {team, "report"};
     items[i].work = 1;
     tree.add(items[i], now);
     tree.enqueue(items[i], false, now);
   };
-  come(0, "x", 0);
-  come(1, "y", 0);
-  come(2, "y", 0.1);
+  arrive(0, "x", 0);
+  arrive(1, "y", 0);
+  arrive(2, "y", 0.1);
   for (double now : {0.0, 0.0, 0.1}) {
-    QueuedCommand* item = tree.selectNext(now);
-    tree.dequeue(*item, now);
-    tree.sendStarted(*item, now);
+    QueuedCommand* command = tree.selectNext(now);
+    tree.dequeue(*command, now);
+    tree.sendStarted(*command, now);
   }
-  come(3, "sure", 1);
+  arrive(3, "sure", 1);
   REQUIRE_EQ(tree.selectNext(1), &items[3]);
   tree.postpone(items[3], 0.05, 1);
-  CHECK_FALSE(tree.selectVictim(1).command);  // it has not waited for long
+  CHECK_FALSE(tree.selectVictim(1).command);  // it has not waited for preemptionDelay
   REQUIRE_EQ(tree.selectNext(1.3), &items[3]);
   tree.postpone(items[3], 0.05, 1.3);
   CHECK_EQ(tree.selectVictim(1.3).command, &items[2]);
-  CHECK_FALSE(tree.selectVictim(1.31).command);  // not two at once
+  CHECK_FALSE(tree.selectVictim(1.31).command);  // not two in quick succession
   CHECK_EQ(tree.selectVictim(1.4).command, &items[1]);
   CHECK_EQ(tree.selectVictim(1.5).command, &items[0]);
-  CHECK_FALSE(tree.selectVictim(1.58).command);  // each once
+  CHECK_FALSE(tree.selectVictim(1.58).command);  // each send only once
   for (size_t i = 0; i < 3; ++i) {
     tree.sendFinished(items[i], 0, 2);
     tree.remove(items[i], 2);
@@ -442,269 +450,271 @@
   tree.remove(items[3], 2);
 }
 
-TEST_CASE("who borrows leaves places to a guarantee that draws for them, but not for ever") {
-  Stage stage(planOf({entry("sure", 1), entry("x", 0)}));
-  QueuedCommand& sure = stage.come({"sure"});
-  QueuedCommand& borrows = stage.come({"x"});
+TEST_CASE("borrowers yield to a guarantee that draws, but only for borrowerYieldTime") {
+  TreeHarness harness(settingsWith({makeEntry("sure", 1), makeEntry("x", 0)}));
+  QueuedCommand& sure = harness.arrive({"sure"});
+  QueuedCommand& borrows = harness.arrive({"x"});
   double now = 0;
   int yielded = 0;
   for (; now < 1; now += 0.01) {
-    QueuedCommand* item = stage.tree.selectNext(now);
-    if (item == &borrows)
+    QueuedCommand* command = harness.tree.selectNext(now);
+    if (command == &borrows)
       break;
-    if (item == &sure) {
-      stage.tree.postpone(sure, 0.1, now);
+    if (command == &sure) {
+      harness.tree.postpone(sure, 0.1, now);
       ++yielded;
     }
   }
   CHECK_GE(yielded, 3);
-  CHECK_GE(now, 0.3);  // yieldS
+  CHECK_GE(now, 0.3);  // borrowerYieldTime
   CHECK_LE(now, 0.36);
 }
 
-TEST_CASE("waits: a half and nine in ten hold, and a slowdown shows within two seconds") {
-  // A queue of one leaf that goes at a rate; arrivals in bursts. Rates fall to a third at 60 s.
-  BudgetSettings plan = planOf({entry("team", 0)});
-  BudgetTree tree(plan, 1);
-  WaitEstimator waits;
-  Pcg32 chance(11);
-  struct Told {
-    double at;
+TEST_CASE("wait estimates: median and p90 hold, and a slowdown shows within seconds") {
+  // One queue with a fixed service rate and bursts of arrivals. The rate falls to a third at 60 s.
+  BudgetSettings budgetSettings = settingsWith({makeEntry("team", 0)});
+  BudgetTree tree(budgetSettings, 1);
+  WaitEstimator estimator;
+  Pcg32 random(11);
+  struct Measured {
+    double arrivedAt;
     WaitEstimate estimate;
-    double wait = -1;
+    double wait = -1;  // negative: still queued
   };
-  std::deque<std::pair<std::unique_ptr<QueuedCommand>, Told>> all;
-  double now = 0, comes = 0, free = 0, seenAt = -1;
+  std::deque<std::pair<std::unique_ptr<QueuedCommand>, Measured>> all;
+  double now = 0, nextArrival = 0, freeAt = 0, detectedAfter = -1;
   while (now < 120) {
     double speed = now < 60 ? 3 : 1;
-    if (comes <= free) {
-      now = comes;
-      // The queue is never empty, and swings.
+    if (nextArrival <= freeAt) {
+      now = nextArrival;
+      // Keeps the queue busy, with a length that oscillates.
       double gap = 0.275 / speed * (double(tree.root().queued) < 30 + 20 * std::sin(now / 7) ? 0.5 : 1.5);
-      auto& [item, told] = all.emplace_back(std::make_unique<QueuedCommand>(), Told{now, {}});
-      item->path = {"team", "report"};
-      item->work = chance.uniformBetween(0.05, 0.5);
-      tree.add(*item, now);
-      waits.advanceTo(now);
-      told.estimate = waits.commandArrived(*item, now);
-      tree.enqueue(*item, false, now);
-      if (now > 60 && seenAt < 0 && told.estimate.median > 1.5 * 30 * 0.275 / 3)
-        seenAt = now - 60;
-      comes = now + gap * chance.uniformBetween(0.5, 1.5);
+      auto& [command, measured] = all.emplace_back(std::make_unique<QueuedCommand>(), Measured{now, {}});
+      command->path = {"team", "report"};
+      command->work = random.uniformBetween(0.05, 0.5);
+      tree.add(*command, now);
+      estimator.advanceTo(now);
+      measured.estimate = estimator.commandArrived(*command, now);
+      tree.enqueue(*command, false, now);
+      if (now > 60 && detectedAfter < 0 && measured.estimate.median > 1.5 * 30 * 0.275 / 3)
+        detectedAfter = now - 60;
+      nextArrival = now + gap * random.uniformBetween(0.5, 1.5);
     } else {
-      now = std::max(free, now);
-      waits.advanceTo(now);
-      QueuedCommand* item = tree.selectNext(now);
-      if (!item) {
-        free = comes;
+      now = std::max(freeAt, now);
+      estimator.advanceTo(now);
+      QueuedCommand* command = tree.selectNext(now);
+      if (!command) {
+        freeAt = nextArrival;
         continue;
       }
-      tree.dequeue(*item, now);
-      waits.commandStarted(*item, now);
-      for (auto& [held, told] : all)
-        if (held.get() == item)
-          told.wait = now - told.at;
-      tree.sendStarted(*item, now);
-      free = now + item->work / speed;
-      tree.sendFinished(*item, 0, now);
+      tree.dequeue(*command, now);
+      estimator.commandStarted(*command, now);
+      for (auto& [known, measured] : all)
+        if (known.get() == command)
+          measured.wait = now - measured.arrivedAt;
+      tree.sendStarted(*command, now);
+      freeAt = now + command->work / speed;
+      tree.sendFinished(*command, 0, now);
     }
   }
-  auto share = [&](double from, double to, auto told) {
+  auto hitRate = [&](double from, double to, auto quantile) {
     double hits = 0, count = 0;
-    for (auto& [item, one] : all)
-      if (one.wait > 0.02 && one.at >= from && one.at < to) {
+    for (auto& [command, one] : all)
+      if (one.wait > 0.02 && one.arrivedAt >= from && one.arrivedAt < to) {
         ++count;
-        hits += one.wait <= told(one.estimate);
+        hits += one.wait <= quantile(one.estimate);
       }
     CHECK_GT(count, 30);
     return hits / count;
   };
-  auto half = [](const WaitEstimate& estimate) { return estimate.median; };
-  auto nine = [](const WaitEstimate& estimate) { return estimate.p90; };
-  CHECK_EQ(share(10, 110, half), doctest::Approx(0.5).epsilon(0.2));
-  CHECK_GE(share(10, 110, nine), 0.86);
-  CHECK_GE(share(60, 110, nine), 0.85);
-  CHECK_GE(seenAt, 0);
-  CHECK_LE(seenAt, 3);
-  for (auto& [item, told] : all)
-    tree.remove(*item, now);
+  auto median = [](const WaitEstimate& estimate) { return estimate.median; };
+  auto p90 = [](const WaitEstimate& estimate) { return estimate.p90; };
+  CHECK_EQ(hitRate(10, 110, median), doctest::Approx(0.5).epsilon(0.2));
+  CHECK_GE(hitRate(10, 110, p90), 0.86);
+  CHECK_GE(hitRate(60, 110, p90), 0.85);
+  CHECK_GE(detectedAfter, 0);
+  CHECK_LE(detectedAfter, 3);
+  for (auto& [command, measured] : all)
+    tree.remove(*command, now);
 }
 
 // --- the module with budgets
 namespace {
 
-struct BudgetScene : PolicyFixture {
-  BudgetScene(Settings given, const BudgetSettings& plan)
-      : PolicyFixture(given), scheduler(plan, given.gatewayCount) {
+struct BudgetFixture : PolicyFixture {
+  BudgetFixture(Settings moduleSettings, const BudgetSettings& budgetSettings)
+      : PolicyFixture(moduleSettings), scheduler(budgetSettings, moduleSettings.gatewayCount) {
     commands.clear();
     wakes.clear();
     policy = createPolicy(settings, 7, *this, &scheduler);
     policy->advanceTo(now);
   }
-  ~BudgetScene() { policy.reset(), commands.clear(); }
+  ~BudgetFixture() { policy.reset(), commands.clear(); }
   TreeScheduler scheduler;
 };
 
 Settings patient() {
-  auto site = PolicyFixture::site();
-  for (auto& profile : site.profiles) {
+  auto siteSettings = PolicyFixture::site();
+  for (auto& profile : siteSettings.profiles) {
     profile.latencyTarget = 60;
     profile.clientTimeout = 100;
   }
-  return site;
+  return siteSettings;
 }
 
 }  // namespace
 
-TEST_CASE("the module: bursts of others take no place of a guarantee") {
-  // Turns alone give each of nine that burst as much as the one that asks for its usual.
+TEST_CASE("the module: bursts of other tenants take no capacity from a guarantee") {
+  // Without budgets, each of eight tenants with a burst gets as much as the one with its usual load.
   std::map<std::string, double> work[2];
   for (bool budgets : {false, true}) {
-    auto site = patient();
-    site.tenants = {{"north", 0.1, 0}, {"south", 0.1, 0}};
+    auto siteSettings = patient();
+    siteSettings.tenants = {{"north", 0.1, 0}, {"south", 0.1, 0}};
     for (int i = 0; i < 8; ++i)
-      site.tenants.push_back({"s" + std::to_string(i), 0.1, 0});
-    BudgetSettings plan = planOf({entry("north", 4)});
-    std::unique_ptr<PolicyFixture> scene;
+      siteSettings.tenants.push_back({"s" + std::to_string(i), 0.1, 0});
+    BudgetSettings budgetSettings = settingsWith({makeEntry("north", 4)});
+    std::unique_ptr<PolicyFixture> fixture;
     if (budgets)
-      scene = std::make_unique<BudgetScene>(site, plan);
+      fixture = std::make_unique<BudgetFixture>(siteSettings, budgetSettings);
     else
-      scene = std::make_unique<PolicyFixture>(site);
-    scene->nodes({1});
-    auto press = [&] {
-      scene->take("waits", "quick", 0.1, "south");
-      scene->commands["waits"]->statusReported(StatusTopic::queued, 1);
-      scene->ends("waits", Outcome::notStarted, 0, true);
-      scene->commands["waits"]->withdrawn();
+      fixture = std::make_unique<PolicyFixture>(siteSettings);
+    fixture->nodes({1});
+    auto signalBacklog = [&] {
+      fixture->take("waits", "quick", 0.1, "south");
+      fixture->commands["waits"]->statusReported(StatusTopic::queued, 1);
+      fixture->ends("waits", Outcome::notStarted, 0, true);
+      fixture->commands["waits"]->withdrawn();
     };
-    press();
+    signalBacklog();
     for (int i = 0; i < 400; ++i)
-      scene->take("s" + std::to_string(i), i % 2 ? "dear" : "quick", 0.5, "s" + std::to_string(i % 8));
+      fixture->take("s" + std::to_string(i), i % 2 ? "dear" : "quick", 0.5, "s" + std::to_string(i % 8));
     std::deque<std::string> running;
     for (int step = 0; step < 60;
          ++step) {  // a second: five of north come, ten end, 4 of those 5 cores are north's
       if (step % 2)
-        scene->take("n" + std::to_string(step), "quick", 0.5, "north");
-      scene->to(scene->now + 0.1);
-      for (auto& [name, node] : std::exchange(scene->at, {}))
+        fixture->take("n" + std::to_string(step), "quick", 0.5, "north");
+      fixture->to(fixture->now + 0.1);
+      for (auto& [name, node] : std::exchange(fixture->at, {}))
         running.push_back(name);
       if (running.empty())
         continue;
       std::string name = running.front();
       running.pop_front();
       work[budgets][name.substr(0, 1)] += 0.5;
-      press();
-      scene->ends(name, Outcome::answered, 0.5);
+      signalBacklog();
+      fixture->ends(name, Outcome::answered, 0.5);
     }
   }
   double with = work[1]["n"] / (work[1]["n"] + work[1]["s"]);
   double without = work[0]["n"] / (work[0]["n"] + work[0]["s"]);
   CHECK_GT(with, without + 0.05);
   INFO(with, " without ", without);
-  CHECK_GT(with, 0.3);  // of the half that it asked for, less what still runs
+  CHECK_GT(with, 0.3);  // it asked for half; some of that is still running
 }
 
-TEST_CASE("the module: under overload what is within its guarantee is shed last") {
-  auto site = PolicyFixture::site();
-  site.tenants = {{"north", 0.5, 0}, {"south", 0.5, 0}};
-  NodeEntry north = entry("north", 8);
+TEST_CASE("the module: under overload, commands within their guarantee are shed last") {
+  auto siteSettings = PolicyFixture::site();
+  siteSettings.tenants = {{"north", 0.5, 0}, {"south", 0.5, 0}};
+  NodeEntry north = makeEntry("north", 8);
   north.settings.burst = 30;
-  BudgetScene scene(site, planOf({north, entry("south", 0)}));
-  scene.nodes({1});
-  scene.take("waits", "quick", 0.1, "south");
-  scene.commands["waits"]->statusReported(StatusTopic::queued, 1);
+  BudgetFixture fixture(siteSettings, settingsWith({north, makeEntry("south", 0)}));
+  fixture.nodes({1});
+  fixture.take("waits", "quick", 0.1, "south");
+  fixture.commands["waits"]->statusReported(StatusTopic::queued, 1);
   for (int i = 0; i < 300; ++i)
-    scene.take("s" + std::to_string(i), "quick", 0.2, "south");
+    fixture.take("s" + std::to_string(i), "quick", 0.2, "south");
   for (int i = 0; i < 4; ++i)
-    scene.take("n" + std::to_string(i), "dear", 2, "north");  // worth less for its work
-  scene.to(100.4);
-  std::string told = scene.trace.str();
-  auto count = [&](const std::string& what) {
-    size_t seen = 0;
-    for (size_t at = told.find(what); at != std::string::npos; at = told.find(what, at + 1))
-      ++seen;
-    return seen;
+    fixture.take("n" + std::to_string(i), "dear", 2, "north");  // less benefit for its work
+  fixture.to(100.4);
+  std::string trace = fixture.trace.str();
+  auto count = [&](const std::string& text) {
+    size_t found = 0;
+    for (size_t position = trace.find(text); position != std::string::npos;
+         position = trace.find(text, position + 1))
+      ++found;
+    return found;
   };
   CHECK_GT(count("shed s"), 20);
-  CHECK_GT(std::min(told.find("shed n"), told.size()),
-           told.rfind("shed s"));  // nothing of north before all of south
+  CHECK_GT(std::min(trace.find("shed n"), trace.size()),
+           trace.rfind("shed s"));  // no command of north before the last one of south
 }
 
-TEST_CASE("the module: a waiting guarantee lowers what borrows, or cancels it where it may go again") {
-  for (auto how : {PreemptionMode::lowerPriority, PreemptionMode::cancel}) {
-    auto site = patient();
-    site.tenants = {{"north", 0.5, 0}, {"south", 0.5, 0}};
-    site.prioritiesSupported = true;
-    site.cancelSupported = how == PreemptionMode::cancel;
-    BudgetSettings plan = planOf({entry("north", 6), entry("south", 0)});
-    plan.preemptionMode = how;
-    plan.preemptionDelay = 0.1;
-    BudgetScene scene(site, plan);
-    scene.nodes({1});
+TEST_CASE(
+    "the module: a waiting guarantee lowers the priority of borrowed sends, or cancels replayable ones") {
+  for (auto mode : {PreemptionMode::lowerPriority, PreemptionMode::cancel}) {
+    auto siteSettings = patient();
+    siteSettings.tenants = {{"north", 0.5, 0}, {"south", 0.5, 0}};
+    siteSettings.prioritiesSupported = true;
+    siteSettings.cancelSupported = mode == PreemptionMode::cancel;
+    BudgetSettings budgetSettings = settingsWith({makeEntry("north", 6), makeEntry("south", 0)});
+    budgetSettings.preemptionMode = mode;
+    budgetSettings.preemptionDelay = 0.1;
+    BudgetFixture fixture(siteSettings, budgetSettings);
+    fixture.nodes({1});
     for (int i = 0; i < 40; ++i)
-      scene.take("s" + std::to_string(i), i == 39 ? "load" : "quick", 2, "south");
-    scene.take("waits", "quick", 0.1, "south");
-    scene.commands["waits"]->statusReported(StatusTopic::queued, 1);
+      fixture.take("s" + std::to_string(i), i == 39 ? "load" : "quick", 2, "south");
+    fixture.take("waits", "quick", 0.1, "south");
+    fixture.commands["waits"]->statusReported(StatusTopic::queued, 1);
     for (int i = 0; i < 5; ++i)
-      scene.take("n" + std::to_string(i), "quick", 2, "north");
-    scene.trace.str("");
+      fixture.take("n" + std::to_string(i), "quick", 2, "north");
+    fixture.trace.str("");
     for (double until = 100.1; until < 101; until += 0.05) {
-      scene.commands["waits"]->statusReported(StatusTopic::queued, 1);
-      scene.to(until);
+      fixture.commands["waits"]->statusReported(StatusTopic::queued, 1);
+      fixture.to(until);
     }
-    std::string told = scene.trace.str();
-    CHECK(told.find(" 0, 0 MB") != std::string::npos);  // its priority falls to the last
-    CHECK_EQ(told.find("cancel s") != std::string::npos, how == PreemptionMode::cancel);
-    CHECK_EQ(told.find("cancel s39"), std::string::npos);  // a load must never run twice
+    std::string trace = fixture.trace.str();
+    CHECK(trace.find(" 0, 0 MB") != std::string::npos);  // the lowest priority
+    CHECK_EQ(trace.find("cancel s") != std::string::npos, mode == PreemptionMode::cancel);
+    CHECK_EQ(trace.find("cancel s39"), std::string::npos);  // a load is not replayable
   }
 }
 
 TEST_CASE(
-    "the module: rule 1 holds with budgets, also where nobody may ever start and the clock steps back") {
-  NodeEntry none = entry("north", 0);
+    "the module: rule 1 holds with budgets, also if no command may ever start and the clock steps back") {
+  NodeEntry none = makeEntry("north", 0);
   none.settings.ceiling.cores = 0;
-  BudgetScene scene(PolicyFixture::site(), planOf({none}));
-  scene.nodes({1});
-  scene.take("never", "quick", 0.1, "north");
-  scene.now = 99;
-  scene.policy->advanceTo(99);
-  scene.policy->decide();
-  scene.now = 100;
-  scene.to(106);
-  CHECK(scene.trace.str().find("shed never") != std::string::npos);
-  CHECK_EQ(scene.sent[1], 0);
+  BudgetFixture fixture(PolicyFixture::site(), settingsWith({none}));
+  fixture.nodes({1});
+  fixture.take("never", "quick", 0.1, "north");
+  fixture.now = 99;
+  fixture.policy->advanceTo(99);
+  fixture.policy->decide();
+  fixture.now = 100;
+  fixture.to(106);
+  CHECK(fixture.trace.str().find("shed never") != std::string::npos);
+  CHECK_EQ(fixture.sent[1], 0);
 }
 
-TEST_CASE("shared rates: what is put by stays the same work, and what was borrowed ends by itself") {
-  BudgetSettings plan;
-  plan.entries = {{"a", "", {}}};
-  plan.entries[0].settings.guarantee.cores = 10;
-  plan.entries[0].settings.burst = 2;
-  BudgetTree tree(plan, 0.1);  // one core here
-  QueuedCommand item;
-  item.path = {"a", "p"};
-  item.work = 1.5;
-  tree.add(item, 100);
-  tree.enqueue(item, false, 100);
-  REQUIRE_EQ(tree.selectNext(100), &item);
-  // of 2 s put by, 0.5 are left
-  tree.dequeue(item, 100);
-  tree.sendStarted(item, 100);
-  const TokenBucket& right = tree.find("a")->guarantee;
-  CHECK_EQ(right.balance(100), doctest::Approx(0.5));
+TEST_CASE("shared rates: a new rate keeps the accumulated work, and borrowed parts expire by themselves") {
+  BudgetSettings budgetSettings;
+  budgetSettings.entries = {{"a", "", {}}};
+  budgetSettings.entries[0].settings.guarantee.cores = 10;
+  budgetSettings.entries[0].settings.burst = 2;
+  BudgetTree tree(budgetSettings, 0.1);  // one core here
+  QueuedCommand command;
+  command.path = {"a", "p"};
+  command.work = 1.5;
+  tree.add(command, 100);
+  tree.enqueue(command, false, 100);
+  REQUIRE_EQ(tree.selectNext(100), &command);
+  // 0.5 of 2 s of credit are left
+  tree.dequeue(command, 100);
+  tree.sendStarted(command, 100);
+  const TokenBucket& guarantee = tree.find("a")->guarantee;
+  CHECK_EQ(guarantee.balance(100), doctest::Approx(0.5));
   tree.setRate("a", false, 8, 100);
-  CHECK_EQ(right.balance(100), doctest::Approx(0.5));
-  CHECK_EQ(right.balance(101), doctest::Approx(8.5));
+  CHECK_EQ(guarantee.balance(100), doctest::Approx(0.5));
+  CHECK_EQ(guarantee.balance(101), doctest::Approx(8.5));
   tree.setRate("a", false, 0.1, 101);
-  CHECK_EQ(right.balance(101), doctest::Approx(0.2));  // no more than its burst
+  CHECK_EQ(guarantee.balance(101), doctest::Approx(0.2));  // no more than its burst
 
-  TreeScheduler scheduler(plan, 10);
+  TreeScheduler scheduler(budgetSettings, 10);
   scheduler.advanceTo(100);
   scheduler.setQuotas({{1, {{105, 3}, {102, 2}}}});
   auto cores = [&] { return scheduler.tree().find("a")->guarantee.rate; };
   CHECK_EQ(cores(), 6);
   scheduler.advanceTo(102);
   CHECK_EQ(cores(), 4);
-  scheduler.advanceTo(700);  // however long nothing came
+  scheduler.advanceTo(700);  // without any call in between
   CHECK_EQ(cores(), 1);
 }
