--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// elmcleat: the dispatcher. Its command line; wires the parts together and heeds signals.
+// The gateway program: parses the command line, creates and connects the parts, and handles signals. SIGTERM and SIGINT
+// start a graceful shutdown, SIGHUP reloads the configuration.
 #include <signal.h>
 #include <sys/resource.h>
 #include <sys/signalfd.h>
@@ -21,184 +22,207 @@
 namespace elmcleat {
 namespace {
 
+// How often quotas of shared rates are refreshed.
+constexpr double kQuotaRefreshSeconds = 0.02;
+
 struct Options {
-  std::string gateway;            // what is ours; empty: nothing of it is on
-  std::optional<LogLevel> level;  // wins over the file and the environment
-  LogFormat form = LogFormat::text;
-  std::vector<std::string> checked;  // files to check, and then to end
+  std::string gatewayFile;           // empty: none, and nothing that it configures is enabled
+  std::optional<LogLevel> logLevel;  // takes precedence over the file and the environment
+  LogFormat logFormat = LogFormat::text;
+  std::vector<std::string> checkFiles;  // of the command `check`
 };
 
-int signalDescriptor() {
-  sigset_t heeded;
-  sigemptyset(&heeded);
-  for (int one : {SIGTERM, SIGINT, SIGHUP})
-    sigaddset(&heeded, one);
-  sigprocmask(SIG_BLOCK, &heeded, nullptr);
-  signal(SIGPIPE, SIG_IGN);  // a log reader that has gone must not end us
-  return signalfd(-1, &heeded, SFD_NONBLOCK | SFD_CLOEXEC);
+// Blocks the signals that are handled and returns a signalfd for them.
+int openSignalDescriptor() {
+  sigset_t handled;
+  sigemptyset(&handled);
+  for (int number : {SIGTERM, SIGINT, SIGHUP})
+    sigaddset(&handled, number);
+  sigprocmask(SIG_BLOCK, &handled, nullptr);
+  signal(SIGPIPE, SIG_IGN);  // a log reader that has exited must not end the process
+  return signalfd(-1, &handled, SFD_NONBLOCK | SFD_CLOEXEC);
 }
 
-GatewayConfig ownConfig(const Options& options) {
-  return options.gateway.empty() ? GatewayConfig{} : readGatewayConfig(options.gateway);
+GatewayConfig loadGatewayConfig(const Options& options) {
+  return options.gatewayFile.empty() ? GatewayConfig{} : readGatewayConfig(options.gatewayFile);
 }
 
-// What can change while commands and connections are in hand does: where the list is followed, the level of the
-// log, budgets. A file that can't be used changes nothing; each of the two stands for itself.
-void readAgain(const Options& options, Discovery& discovery, Dispatcher& dispatcher,
-               const GatewayConfig& started) {
+// Applies what can change while commands and connections are open: the address of the change log, the log level, and
+// budgets. The two files are independent of each other; one that can't be used changes nothing.
+void reloadConfig(const Options& options, Discovery& discovery, Dispatcher& dispatcher,
+                  const GatewayConfig& startConfig) {
   try {
     Config config = readConfig();
-    Log::setLevel(options.level.value_or(config.logLevel));
+    Log::setLevel(options.logLevel.value_or(config.logLevel));
     info() << "configuration: read again";
     discovery.follow(config.changeLogAddress);
-  } catch (const std::exception& fault) {
-    warn() << "configuration: the old one stays: " << fault.what();
+  } catch (const std::exception& error) {
+    warn() << "configuration: the old one stays: " << error.what();
   }
-  if (options.gateway.empty())
+  if (options.gatewayFile.empty())
     return;
   try {
-    GatewayConfig own = ownConfig(options);
-    dispatcher.updateBudgets(own.budgets);
-    if (own.members.has_value() != started.members.has_value())
+    GatewayConfig gatewayConfig = loadGatewayConfig(options);
+    dispatcher.updateBudgets(gatewayConfig.budgets);
+    if (gatewayConfig.members.has_value() != startConfig.members.has_value())
       warn() << "members: as they were: they are switched at a start alone";
-    if (own.subset != started.subset)
+    if (gatewayConfig.subset != startConfig.subset)
       warn() << "view: as it was: it changes at a start alone";
-  } catch (const std::exception& fault) {
-    warn() << "gateway: the old one stays: " << fault.what();
+  } catch (const std::exception& error) {
+    warn() << "gateway: the old one stays: " << error.what();
   }
 }
 
-Task heedSignals(const Options& options, const Descriptor& signals, Signal& signal, Discovery& discovery,
-                 Dispatcher& dispatcher, Listener& listener, const GatewayConfig& started) {
-  for (signalfd_siginfo heard;;) {
-    while (read(signals.fd(), &heard, sizeof heard) != sizeof heard)
+Task handleSignals(const Options& options, const Descriptor& signalDescriptor, Signal& signal,
+                   Discovery& discovery, Dispatcher& dispatcher, Listener& listener,
+                   const GatewayConfig& startConfig) {
+  for (signalfd_siginfo received;;) {
+    while (read(signalDescriptor.fd(), &received, sizeof received) != sizeof received)
       co_await signal;
-    if (heard.ssi_signo == SIGHUP)
-      readAgain(options, discovery, dispatcher, started);
+    if (received.ssi_signo == SIGHUP)
+      reloadConfig(options, discovery, dispatcher, startConfig);
     else
       listener.drain();
   }
 }
 
-// What may be used here of shared rates, fifty times a second: a grant of ours waits for this look (ControlThread::acknowledge).
-void heedShared(ControlThread& control, Dispatcher& dispatcher, Timer& again, const Clock& clock) {
-  again.set(clock.now() + 0.02);
-  const ControlSnapshot* told = control.latestQuotas();
-  dispatcher.updateQuotas(told->quotas, [&control, number = told->members.number](std::vector<double> wants) {
-    control.setDemand(std::move(wants));
-    control.acknowledge(number);
-  });
+// Passes the quotas of shared rates from the control thread to the dispatcher, and the demand back, fifty times a second.
+// A grant of this gateway waits until this has acknowledged the snapshot (ControlThread::acknowledge).
+void refreshQuotas(ControlThread& control, Dispatcher& dispatcher, Timer& refreshTimer, const Clock& clock) {
+  refreshTimer.set(clock.now() + kQuotaRefreshSeconds);
+  const ControlSnapshot* snapshot = control.latestQuotas();
+  dispatcher.updateQuotas(snapshot->quotas,
+                          [&control, number = snapshot->members.number](std::vector<double> demand) {
+                            control.setDemand(std::move(demand));
+                            control.acknowledge(number);
+                          });
 }
 
-// All of a fleet must reckon with the same number of dispatchers, or an engine's users differ.
-std::unique_ptr<view::EngineSubset> viewOf(const GatewayConfig& own, const Settings& settings) {
-  if (!own.subset)
+// All gateways of a fleet have to use the same number of gateways, or they disagree on which of them use an engine.
+std::unique_ptr<view::EngineSubset> createSubset(const GatewayConfig& gatewayConfig,
+                                                 const Settings& settings) {
+  if (!gatewayConfig.subset)
     return nullptr;
-  if (own.members && int(own.members->peers.size()) != settings.gatewayCount)
+  if (gatewayConfig.members && int(gatewayConfig.members->peers.size()) != settings.gatewayCount)
     throw view::Error(view::ErrorKind::dispatcherCountsDiffer,
                       "settings.balancers is " + std::to_string(settings.gatewayCount) +
-                          ", members.peers lists " + std::to_string(own.members->peers.size()),
+                          ", members.peers lists " + std::to_string(gatewayConfig.members->peers.size()),
                       "settings.balancers");
-  return std::make_unique<view::EngineSubset>(*own.subset, settings);
+  return std::make_unique<view::EngineSubset>(*gatewayConfig.subset, settings);
 }
 
+// Runs the gateway until it is shut down by a signal.
 void serve(const Options& options) {
-  int heeded = signalDescriptor();  // first of all: no signal ends us from here on
-  Log::setFormat(options.form);
-  GatewayConfig own = ownConfig(options);
+  int signalFd = openSignalDescriptor();  // first, so that no signal ends the process from here on
+  Log::setFormat(options.logFormat);
+
+  // Configuration
+  GatewayConfig gatewayConfig = loadGatewayConfig(options);
   Config config = readConfig();
-  Log::setLevel(options.level.value_or(config.logLevel));
-  if (own.members && !config.peersAllowed)
+  Log::setLevel(options.logLevel.value_or(config.logLevel));
+  if (gatewayConfig.members && !config.peersAllowed)
     throw members::Error(members::ErrorKind::peersForbidden,
                          "settings.limits.peers is not true, so members can't be switched on",
-                         "members in " + options.gateway);
-  // The system may allow fewer than the platform has told us of: the smaller number is the one to keep to.
-  if (rlimit held{}; getrlimit(RLIMIT_NOFILE, &held) == 0)
-    config.maxDescriptors = std::min<size_t>(config.maxDescriptors, held.rlim_cur);
-  auto seen = viewOf(own, config.settings);
-  std::optional<Settings> local;
-  if (seen)
-    local = seen->localSettings();
+                         "members in " + options.gatewayFile);
+  // The system may allow fewer descriptors than the platform's configuration says: the smaller number holds.
+  if (rlimit limit{}; getrlimit(RLIMIT_NOFILE, &limit) == 0)
+    config.maxDescriptors = std::min<size_t>(config.maxDescriptors, limit.rlim_cur);
+  auto subset = createSubset(gatewayConfig, config.settings);
+  std::optional<Settings> localSettings;
+  if (subset)
+    localSettings = subset->localSettings();
+
+  // The parts
   Clock clock;
   Scheduler scheduler(clock);
   std::unique_ptr<ControlThread> control;
   std::optional<QuotaSharing> sharing;
-  if (own.leases)
-    sharing = QuotaSharing{*own.leases, budget::fleetRates(*own.budgets)};
-  if (own.members)
-    control = std::make_unique<ControlThread>(clock, *own.members, config.name, config.seed, sharing);
+  if (gatewayConfig.leases)
+    sharing = QuotaSharing{*gatewayConfig.leases, budget::fleetRates(*gatewayConfig.budgets)};
+  if (gatewayConfig.members)
+    control =
+        std::make_unique<ControlThread>(clock, *gatewayConfig.members, config.name, config.seed, sharing);
   Signal signal(scheduler);
-  Descriptor signals(scheduler, heeded, signal);
-  Dispatcher dispatcher(scheduler, config.settings, config.seed, own.budgets, local);
-  Discovery discovery(scheduler, config, dispatcher, std::move(seen));
+  Descriptor signalDescriptor(scheduler, signalFd, signal);
+  Dispatcher dispatcher(scheduler, config.settings, config.seed, gatewayConfig.budgets, localSettings);
+  Discovery discovery(scheduler, config, dispatcher, std::move(subset));
   Listener listener(scheduler, config, dispatcher);
   discovery.setEvictor([&listener] { return listener.evictIdle(); });
+
+  // Start
   dispatcher.start(discovery);
   discovery.start(std::exchange(config.initialEvents, {}));
-  std::optional<Timer> look;
-  auto heed = [&] { heedShared(*control, dispatcher, *look, clock); };
-  if (sharing)
-    look.emplace(scheduler, heed), heed();  // in force before the first command is taken
+  std::optional<Timer> quotaTimer;
+  auto refresh = [&] { refreshQuotas(*control, dispatcher, *quotaTimer, clock); };
+  if (sharing) {
+    quotaTimer.emplace(scheduler, refresh);
+    refresh();  // quotas apply before the first command is accepted
+  }
   listener.open();
-  Task heeding = heedSignals(options, signals, signal, discovery, dispatcher, listener, own);
-  heeding.start();
+  Task signalTask =
+      handleSignals(options, signalDescriptor, signal, discovery, dispatcher, listener, gatewayConfig);
+  signalTask.start();
   if (control)
     control->watch(scheduler);
   info() << config.name << ": listens on " << formatAddress(config.listenAddress);
   scheduler.run();
+
+  // Stop
   if (control && !control->stop()) {
     warn() << "members: the control thread hangs; ends without it";
     std::_Exit(EXIT_SUCCESS);
   }
 }
 
-// All faults of all files, a line each on standard output; 1 if there are any.
+// Validates the files and prints all errors, one a line; returns the exit status: 1 if there are any.
 int check(const std::vector<std::string>& paths) {
   std::vector<std::string> errors;
   for (auto& path : paths)
     try {
       Json document = readJson(path);
-      // The platform's file names what it is for; all else is ours.
-      bool platforms = document.is_object() && (document.contains("settings") || document.contains("listen"));
-      if (platforms)
+      // The platform's configuration has one of these keys; any other file is a gateway file.
+      bool isPlatformConfig =
+          document.is_object() && (document.contains("settings") || document.contains("listen"));
+      if (isPlatformConfig)
         readConfig(document);
       else
         readGatewayConfig(document, path);
     } catch (const ValidationErrors& found) {
       errors.insert(errors.end(), found.messages.begin(), found.messages.end());
-    } catch (const std::exception& fault) {
-      errors.push_back(path + ": " + fault.what());
+    } catch (const std::exception& error) {
+      errors.push_back(path + ": " + error.what());
     }
-  for (auto& fault : errors)
-    std::cout << fault << '\n';
+  for (auto& error : errors)
+    std::cout << error << '\n';
   if (errors.empty())
     std::cout << paths.size() << (paths.size() == 1 ? " file is" : " files are") << " sound\n";
   return errors.empty() ? 0 : 1;
 }
 
-int run(int count, char** words) {
+int run(int argumentCount, char** arguments) {
   CLI::App app("elmcleat: decides what runs, where and with how much memory");
   Options options;
   app.set_version_flag("--version", "elmcleat " ELMCLEAT_VERSION);
-  app.add_option("--gateway", options.gateway,
+  app.add_option("--gateway", options.gatewayFile,
                  "what is ours: budgets and more (see schemas/gateway.schema.json)")
       ->type_name("FILE");
-  app.add_option("--log-level", options.level, "the least level that is logged; wins over the configuration")
+  app.add_option("--log-level", options.logLevel,
+                 "the least level that is logged; wins over the configuration")
       ->transform(CLI::CheckedTransformer(std::map<std::string, LogLevel>{{"debug", LogLevel::debug},
                                                                           {"info", LogLevel::info},
                                                                           {"warn", LogLevel::warn},
                                                                           {"error", LogLevel::error}}));
-  app.add_option("--log-format", options.form, "text, or an object of JSON a line")
+  app.add_option("--log-format", options.logFormat, "text, or an object of JSON a line")
       ->transform(CLI::CheckedTransformer(
           std::map<std::string, LogFormat>{{"text", LogFormat::text}, {"json", LogFormat::json}}));
   app.add_subcommand("serve", "serve, with the configuration that PROXY_CONFIG names (the default)");
-  auto* checking =
+  auto* checkCommand =
       app.add_subcommand("check", "look for faults in files, and end: status 1 if there are any");
-  checking->add_option("FILE", options.checked, "a configuration, or a gateway file")->required();
+  checkCommand->add_option("FILE", options.checkFiles, "a configuration, or a gateway file")->required();
   app.require_subcommand(0, 1);
-  CLI11_PARSE(app, count, words);
-  if (checking->parsed())
-    return check(options.checked);
+  CLI11_PARSE(app, argumentCount, arguments);
+  if (checkCommand->parsed())
+    return check(options.checkFiles);
   serve(options);
   return 0;
 }
@@ -206,14 +230,14 @@
 }  // namespace
 }  // namespace elmcleat
 
-int main(int count, char** words) {
+int main(int argumentCount, char** arguments) {
   try {
-    return elmcleat::run(count, words);
+    return elmcleat::run(argumentCount, arguments);
   } catch (const elmcleat::ValidationErrors& errors) {
     for (auto& line : errors.messages)
       std::cerr << "elmcleat: " << line << std::endl;
-  } catch (const std::exception& fault) {
-    std::cerr << "elmcleat: " << fault.what() << std::endl;
+  } catch (const std::exception& error) {
+    std::cerr << "elmcleat: " << error.what() << std::endl;
   }
   return 1;
 }
--- a/src/serve/client_connection.cpp
+++ b/src/serve/client_connection.cpp
@@ -8,33 +8,39 @@
 namespace elmcleat {
 namespace {
 
-constexpr size_t kMostIn = 32 * 1024, kMostOut = 1 << 20;
-// Clients close what has been idle for 4 s; one that says nothing for twice as long has forgotten its
-// connection, or holds it for good.
-constexpr double kIdle = 8;
-// Who connects has something to ask, and writes it at once: a client that is still silent by then, or in the
-// middle of a request, won't come to anything. Guards descriptors and memory against half a request, floods of
-// silent connections and endless heads. Hurts a client that is stopped for that long in mid-request.
-constexpr double kWhole = 2;
-// How long what still comes is read after the last answer, so that our close does not overtake it.
-constexpr double kLinger = 3;
-// A body of many MB is read at this pace at most, or it would take the core from all others.
-constexpr double kPace = 0.01;
-constexpr int kPaceReads = 8;
+constexpr size_t kMaxInputBytes = 32 * 1024;
+constexpr size_t kMaxOutputBytes = 1 << 20;
+
+// Clients close a connection that has been idle for 4 s. One that has been idle for twice as long was forgotten by its
+// client, or is held open for good. The same time is allowed for taking a response.
+constexpr double kIdleTimeoutSeconds = 8;
+
+// Clients connect in order to send a request, and write it at once. One that has not sent a complete request by then
+// will not do so any more. Guards descriptors and memory against partial requests, floods of silent connections and
+// headers without end. Harms a client that is stopped for that long in the middle of a request.
+constexpr double kRequestTimeoutSeconds = 2;
+
+// How long input is still read after the last response, so that our close does not overtake the response.
+constexpr double kLingerSeconds = 3;
+
+// Input that is only discarded is read in bursts of this many reads, with this pause between them: a body of many MB
+// would otherwise keep the core from all other connections.
+constexpr double kDiscardPauseSeconds = 0.01;
+constexpr int kDiscardReadsPerBurst = 8;
 
 }  // namespace
 
 ClientConnection::ClientConnection(Scheduler& scheduler, const Settings& settings, Dispatcher& dispatcher,
-                                   MemoryBudget& hold, int fd, bool full)
+                                   MemoryBudget& memory, int fd, bool overLimit)
     : scheduler_(scheduler),
       settings_(settings),
       dispatcher_(dispatcher),
-      memory_(hold),
+      memory_(memory),
       signal_(scheduler),
       mailbox_(signal_),
-      stream_(scheduler, signal_, kMostIn, kMostOut),
-      limit_(scheduler, [this] { timeLimitReached(); }),
-      full_(full) {
+      stream_(scheduler, signal_, kMaxInputBytes, kMaxOutputBytes),
+      timeLimit_(scheduler, [this] { timeLimitReached(); }),
+      overLimit_(overLimit) {
   stream_.adopt(fd);
   idleSince_ = scheduler.now();
   task_ = run();
@@ -51,51 +57,59 @@
   accountedMemory_ = bytes;
 }
 
-// True if something came. A request counts as come with its first byte.
-bool ClientConnection::read(bool look) {
-  size_t had = stream_.input().size();
-  stream_.receive(look);
-  if (stream_.input().size() == had)
+// Reads into the input buffer; true if anything arrived. A request's arrival time is that of its first byte.
+// `pollSocket`: asks the system even if the descriptor has not been reported as readable.
+bool ClientConnection::read(bool pollSocket) {
+  size_t sizeBefore = stream_.input().size();
+  stream_.receive(pollSocket);
+  if (stream_.input().size() == sizeBefore)
     return false;
-  if (had == 0 && reader_.isBetweenRequests())
-    cameAt_ = scheduler_.now(), setTimeLimit();
+  if (sizeBefore == 0 && parser_.isBetweenRequests()) {
+    requestStartedAt_ = scheduler_.now();
+    setTimeLimit();
+  }
   return true;
 }
 
-// Until the next request is whole.
+// Sets the time by which the next request has to be complete.
 void ClientConnection::setTimeLimit() {
-  late_ = false;
-  limit_.set(requestStarted() ? cameAt_ + kWhole : idleSince_ + (requestReceived_ ? kIdle : kWhole));
+  timedOut_ = false;
+  timeLimit_.set(requestStarted()
+                     ? requestStartedAt_ + kRequestTimeoutSeconds
+                     : idleSince_ + (requestReceived_ ? kIdleTimeoutSeconds : kRequestTimeoutSeconds));
 }
 
-// What the client has written, and we have not read, may be a request that is owed an answer. Who has half a request
-// there is told that there is no room for it.
+// Bytes that the client has written and that were not read yet may be a request that needs a response, so the socket is
+// read first. A client whose request is only partly there gets a response that it is shed.
 bool ClientConnection::tryEvict() {
   signal_.raise();
   if (!closing_)
     unprocessedInput_ |= read(true);
   if (unprocessedInput_)
     return false;
-  if (!closing_ && requestStarted())
+  if (!closing_ && requestStarted()) {
     stream_.write(formatHttpResponse({Response::Kind::shed, {}, 0}, false)), stream_.flush();
+  }
   stream_.close(CloseReason::idle);
   return true;
 }
 
-// Who has not taken its answer, or not closed after its last one, is cut off; all others are looked at once more.
+// A client that has not taken its response, or has not closed after the last one, is disconnected. In all other cases
+// the socket is read once more before the connection ends.
 void ClientConnection::timeLimitReached() {
   if (busy_ || closing_)
     stream_.close(CloseReason::idle);
   else
-    late_ = true;
+    timedOut_ = true;
   signal_.raise();
 }
 
-// What it has written behind its request may be more than we keep: that is read and dropped, so that its end is seen.
+// The client may have sent more behind its request than the buffer holds: that is read and discarded, so that the end
+// of the stream is seen.
 bool ClientConnection::isConnected() {
   stream_.receive(true);
-  for (int i = 0; i < kPaceReads && stream_.inputLimited(); ++i) {
-    framingLost_ = true;  // where a further request would begin is not known any more
+  for (int i = 0; i < kDiscardReadsPerBurst && stream_.inputLimited(); ++i) {
+    framingLost_ = true;  // the start of a further request can't be found any more
     stream_.input().clear();
     stream_.receive(true);
   }
@@ -121,68 +135,75 @@
 }
 
 Task ClientConnection::run() {
-  bool keepAlive = true, due = true;
-  Timer pace(scheduler_, [&] { due = true, signal_.raise(); });
+  bool keepAlive = true;
+  bool discardDue = true;
+  Timer discardTimer(scheduler_, [&] {
+    discardDue = true;
+    signal_.raise();
+  });
   while (keepAlive) {
-    // --- a request
+    // Read one request, until it is complete, malformed, shed or timed out.
     HttpRequest request;
     setTimeLimit();
     HttpRequestParser::State state;
-    bool tooMuch = full_, over = false;
+    bool shed = overLimit_;
+    bool ended = false;
     while (true) {
-      read(late_);
+      read(timedOut_);
       unprocessedInput_ = false;
-      state = reader_.next(stream_.input(), request);
-      accountMemory(stream_.input().capacity() + reader_.bufferedBytes() + request.body.capacity());
+      state = parser_.next(stream_.input(), request);
+      accountMemory(stream_.input().capacity() + parser_.bufferedBytes() + request.body.capacity());
       if (state == HttpRequestParser::State::complete || state == HttpRequestParser::State::malformed)
         break;
-      if (memory_.used > memory_.limit &&
-          !reader_.isBetweenRequests()) {  // a body that has no room: it is not kept
-        tooMuch = true;
+      if (memory_.used > memory_.limit && !parser_.isBetweenRequests()) {  // no memory for the body
+        shed = true;
         break;
       }
-      if (state == HttpRequestParser::State::expectsContinue)
+      if (state == HttpRequestParser::State::expectsContinue) {
         stream_.write("HTTP/1.1 100 Continue\r\n\r\n"), stream_.flush();
+      }
       if (!stream_.isOpen())
         break;
       if (stream_.inputLimited() || state == HttpRequestParser::State::expectsContinue)
         continue;
-      if ((over = late_ || (draining_ && !requestStarted())))
+      ended = timedOut_ || (draining_ && !requestStarted());
+      if (ended)
         break;
       co_await signal_;
     }
-    limit_.clear();
+    timeLimit_.clear();
     if (!stream_.isOpen())
-      break;  // nobody is there to be answered
-    if (over && !requestStarted())
-      break;  // it rests: it is told that nothing more is read
+      break;  // the client has disconnected
+    if (ended && !requestStarted())
+      break;  // an idle client: the half-close below says that nothing more is read
     busy_ = requestReceived_ = true;
-    bool now = true;  // answered without the dispatcher
+    bool answeredLocally = true;  // without the dispatcher
 
-    // --- its answer
+    // Get its response.
     std::string bytes;
     if (state == HttpRequestParser::State::malformed) {
       keepAlive = false;
-      bytes = errorResponse(reader_.status(), "malformed or too large", false);
-    } else if (over) {
+      bytes = errorResponse(parser_.status(), "malformed or too large", false);
+    } else if (ended) {
       keepAlive = false;
       bytes = errorResponse(408, "half a request, and then nothing more in time", false);
-    } else if (tooMuch) {
+    } else if (shed) {
       keepAlive = false;
       bytes = formatHttpResponse({Response::Kind::shed, {}, 0}, false);
     } else {
       keepAlive = request.keepAlive &= !draining_;
-      if (auto at = serve(std::move(request))) {
-        bytes = std::move(*at);
+      if (auto localResponse = serve(std::move(request))) {
+        bytes = std::move(*localResponse);
       } else {
-        now = false;
+        // The command is with the dispatcher: wait for its response, and watch whether the client disconnects.
+        answeredLocally = false;
         while (!response_ && !abandoned_ && stream_.isOpen()) {
           co_await signal_;
           mailbox_.runAll();
           if (!response_)
             isConnected();
           if (framingLost_)
-            pace.set(scheduler_.now() + kPace);  // there may be more of it
+            discardTimer.set(scheduler_.now() + kDiscardPauseSeconds);  // more may follow
         }
         if (!response_)
           break;
@@ -193,36 +214,41 @@
         context_ = nullptr;
       }
     }
+
+    // Write it.
     accountMemory(stream_.input().capacity() + bytes.size());
     stream_.write(std::move(bytes));
-    limit_.set(scheduler_.now() + kIdle);
+    timeLimit_.set(scheduler_.now() + kIdleTimeoutSeconds);
     for (stream_.flush(); stream_.isOpen() && !stream_.allSent(); stream_.flush())
       co_await signal_;
     busy_ = false;
-    cameAt_ = idleSince_ = scheduler_.now();  // of a next request that has come already
+    requestStartedAt_ = idleSince_ = scheduler_.now();  // also of a pipelined request that is in the buffer
     accountMemory(stream_.input().capacity());
-    if (now && !stream_.input().empty())
-      co_await signal_.afterOthers();  // who asks at full speed takes turns
+    if (answeredLocally && !stream_.input().empty())
+      co_await signal_.afterOthers();  // a client that pipelines requests gives way to other actors
   }
-  // What the client still sends is read until it closes: unread bytes would turn our close into a reset, and
-  // that may overtake the answer.
-  // Nothing of it is kept, and others have their turns between.
+
+  // Half-close, then read and discard what the client still sends until it closes: with unread bytes our close would
+  // become a reset, which may overtake the response. Other actors get their turns between the bursts.
   stream_.shutDown();
-  limit_.set(scheduler_.now() + kLinger);
-  closing_ = true, unprocessedInput_ = false;
-  reader_ = {};
+  timeLimit_.set(scheduler_.now() + kLingerSeconds);
+  closing_ = true;
+  unprocessedInput_ = false;
+  parser_ = {};
   accountMemory(0);
-  done_();
-  due = true;
+  onResponsesSent_();
+  discardDue = true;
   while (stream_.isOpen()) {
-    for (int i = 0; due && i < kPaceReads; ++i) {
+    for (int i = 0; discardDue && i < kDiscardReadsPerBurst; ++i) {
       stream_.receive();
       stream_.input().clear();
       if (!stream_.inputLimited())
         break;
     }
-    if (due && stream_.inputLimited())
-      due = false, pace.set(scheduler_.now() + kPace);
+    if (discardDue && stream_.inputLimited()) {
+      discardDue = false;
+      discardTimer.set(scheduler_.now() + kDiscardPauseSeconds);
+    }
     if (stream_.isOpen())
       co_await signal_;
   }
@@ -233,11 +259,11 @@
     dispatcher_.withdraw(std::exchange(context_, nullptr));
   }
   busy_ = false;
-  over_();
+  onClosed_();
 }
 
-std::string ClientConnection::errorResponse(int status, const std::string& why, bool keepAlive) const {
-  warn().with("why", why) << "client: answered " << status << ": " << why;
+std::string ClientConnection::errorResponse(int status, const std::string& reason, bool keepAlive) const {
+  warn().with("why", reason) << "client: answered " << status << ": " << reason;
   return formatHttpResponse(status, R"({"problem":"Failed"})", keepAlive);
 }
 
@@ -252,7 +278,7 @@
   }
   if (!request.path.starts_with("/do/"))
     return errorResponse(404, "unknown path", keepAlive);
-  if (request.method == "DELETE") {  // the command's path: /do/PROFILE with its id as a header, or /do/ID
+  if (request.method == "DELETE") {  // withdraws a command: /do/PROFILE with its id as a header, or /do/ID
     auto* id = request.header("req-id");
     if (dispatcher_.withdraw(id ? *id : request.path.substr(request.path.rfind('/') + 1)))
       return formatHttpResponse(200, "{}", keepAlive);
@@ -261,7 +287,7 @@
   if (request.method != "POST")
     return errorResponse(405, "/do by " + request.method, keepAlive);
   ParsedRequest parsed =
-      parseCommandRequest(std::move(request), settings_, cameAt_, dispatcher_.actorHeader());
+      parseCommandRequest(std::move(request), settings_, requestStartedAt_, dispatcher_.actorHeader());
   if (!parsed.request)
     return errorResponse(parsed.status, parsed.error, keepAlive);
   context_ = std::make_shared<RequestContext>();
--- a/src/serve/client_connection.h
+++ b/src/serve/client_connection.h
@@ -1,4 +1,6 @@
-// A client's connection: the actor that reads its requests and writes their answers, one at a time.
+// A client's connection, and the actor that serves it: it reads HTTP requests, submits commands to the dispatcher, and
+// writes the responses, one request at a time. It owns the socket's stream, the request parser and the context of the
+// request that is being served.
 #pragma once
 #include <functional>
 #include <memory>
@@ -13,32 +15,42 @@
 
 namespace elmcleat {
 
-// What all clients' connections together hold of requests, and how much that may be.
+// Memory, in bytes, that the requests and responses of all client connections use together, and its limit.
 struct MemoryBudget {
-  size_t limit = 0, used = 0;
+  size_t limit = 0;
+  size_t used = 0;
 };
 
 class ClientConnection final : public Responder {
  public:
-  // `full`: too many have come, so its first request is turned away, harmlessly, and it is closed.
-  ClientConnection(Scheduler& scheduler, const Settings& settings, Dispatcher& dispatcher, MemoryBudget& hold,
-                   int fd, bool full = false);
+  // `overLimit`: the listener's connection limit is reached, so the first request is shed and the connection closed.
+  ClientConnection(Scheduler& scheduler, const Settings& settings, Dispatcher& dispatcher,
+                   MemoryBudget& memory, int fd, bool overLimit = false);
   ~ClientConnection() override;
-  // Called when nothing is owed to it any more, and when the connection is over.
-  void onFinished(std::function<void()> done, std::function<void()> over) {
-    done_ = std::move(done), over_ = std::move(over);
+
+  // `responsesSent` is called when no further response will be sent, `closed` when the connection has ended and may be
+  // destroyed.
+  void onFinished(std::function<void()> responsesSent, std::function<void()> closed) {
+    onResponsesSent_ = std::move(responsesSent);
+    onClosed_ = std::move(closed);
   }
   void start() { task_.start(); }
 
-  bool open() const { return stream_.isOpen(); }
-  bool idle() const { return !busy_ && open(); }
+  bool isOpen() const { return stream_.isOpen(); }
+  bool isIdle() const { return !busy_ && isOpen(); }
   double idleSince() const { return idleSince_; }
   bool hasSentRequest() const { return requestReceived_; }
   bool isClosing() const { return closing_; }
-  bool tryEvict();  // closes unless a request has come meanwhile; for idle ones
-  // No client comes any more: what rests is told so by a half-close, what has begun to come is still served.
+
+  // Closes an idle connection, unless a request has arrived meanwhile; false if one has.
+  bool tryEvict();
+
+  // Graceful shutdown: no further request is awaited. An idle client is sent a half-close; a request that has begun to
+  // arrive is still served.
   void drain();
-  bool hasPendingResponse() const { return open() && !closing_; }  // something is, or may be, owed to it
+
+  // Whether a response is pending, or may be.
+  bool hasPendingResponse() const { return isOpen() && !closing_; }
 
  private:
   // Responder
@@ -47,35 +59,39 @@
   bool isConnected() override;
 
   Task run();
-  bool read(bool look = false);
+  bool read(bool pollSocket = false);
   void setTimeLimit();
-  bool requestStarted() const {
-    return !stream_.input().empty() || !reader_.isBetweenRequests();
-  }  // part of a request has come
+  // Whether part of a request has arrived.
+  bool requestStarted() const { return !stream_.input().empty() || !parser_.isBetweenRequests(); }
   void timeLimitReached();
   void accountMemory(size_t bytes);
-  std::optional<std::string> serve(HttpRequest&& request);  // an answer at once, or a ticket
-  std::string errorResponse(int status, const std::string& why, bool keepAlive) const;
+  // Handles one request: returns its response, or none if it was submitted to the dispatcher (context_ is set then).
+  std::optional<std::string> serve(HttpRequest&& request);
+  std::string errorResponse(int status, const std::string& reason, bool keepAlive) const;
 
   Scheduler& scheduler_;
   const Settings& settings_;
   Dispatcher& dispatcher_;
   MemoryBudget& memory_;
-  size_t accountedMemory_ = 0;  // our part of it
-  std::function<void()> done_, over_;
+  size_t accountedMemory_ = 0;  // this connection's part of memory_.used
+  std::function<void()> onResponsesSent_;
+  std::function<void()> onClosed_;
   Signal signal_;
   Mailbox mailbox_;
   Stream stream_;
-  Timer limit_;
-  HttpRequestParser reader_;
-  double cameAt_ = 0, idleSince_ = 0;
-  bool busy_ = false, abandoned_ = false;
-  bool full_, requestReceived_ = false;  // asked: a whole request has come
-  bool closing_ = false;                 // the last answer is out: what still comes is read, and not kept
-  bool unprocessedInput_ = false;        // what was read outside our turn waits for it
-  bool late_ = false;                    // the time for the next request to be whole is over
-  bool framingLost_ = false;             // bytes behind the request in hand were dropped
-  bool draining_ = false;                // no further request is read but what has begun to come
+  Timer timeLimit_;
+  HttpRequestParser parser_;
+  double requestStartedAt_ = 0;  // when the first byte of the request was read
+  double idleSince_ = 0;
+  bool busy_ = false;       // from a complete request until its response is sent
+  bool abandoned_ = false;  // the command was withdrawn through another connection
+  bool overLimit_;
+  bool requestReceived_ = false;   // a complete request has arrived at some time
+  bool closing_ = false;           // the last response is sent: further input is read and discarded
+  bool unprocessedInput_ = false;  // input was read outside the actor's turn and waits for it
+  bool timedOut_ = false;          // the time limit for a complete request has passed
+  bool framingLost_ = false;       // bytes behind the current request were discarded
+  bool draining_ = false;          // no further request is read, except one that has begun to arrive
   std::shared_ptr<RequestContext> context_;
   std::optional<Response> response_;
   Task task_;
--- a/src/serve/connection_quota.h
+++ b/src/serve/connection_quota.h
@@ -1,9 +1,10 @@
-// The connections to engines, all together: a third of the descriptors, as many as clients may hold. Each holds a
-// place. Where none is left, the connection that has been idle for longest, at whatever engine, makes room; where none
-// is idle, who wants one waits for the next that ends or falls idle.
+// The quota of connections to engines, shared by all engines: a third of the descriptors, as many as clients may hold.
+// Each connection holds a slot. When no slot is free, the connection that has been idle for longest, to whichever
+// engine, is closed to free one; when none is idle, the engine that needs a slot waits until a connection ends or
+// becomes idle. Engines wait in order of request.
 //
-// Guards against lists with more engines than descriptors: one idle connection an engine would take them all. Hurts by
-// handshakes where sends go round more engines than there are places.
+// Guards against lists with more engines than descriptors, where one idle connection for each engine would use them all
+// up. The cost is a handshake whenever sends go round more engines than there are slots.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -18,27 +19,31 @@
 
 class ConnectionQuota {
  public:
-  explicit ConnectionQuota(size_t most) : most_(most) {}
+  explicit ConnectionQuota(size_t maxSlots) : maxSlots_(maxSlots) {}
   ConnectionQuota(const ConnectionQuota&) = delete;
   ConnectionQuota& operator=(const ConnectionQuota&) = delete;
 
-  class Slot {  // of one connection, for as long as this object lives
+  // The slot of one connection, held for the lifetime of this object or until the quota reclaims it.
+  class Slot {
    public:
-    // `close` is called when it has to make room while idle.
-    Slot(ConnectionQuota& room, std::function<void()> close) : room_(room), close_(std::move(close)) {
-      ++room_.held_;
+    // `close` is called when the slot is reclaimed while its connection is idle; it has to close the connection.
+    Slot(ConnectionQuota& quota, std::function<void()> close) : quota_(quota), close_(std::move(close)) {
+      ++quota_.slotsHeld_;
     }
     Slot(const Slot&) = delete;
     Slot& operator=(const Slot&) = delete;
     ~Slot() { release(); }
+
     void markIdle() {
-      if (held_ && !idle_)
-        idle_ = true, at_ = room_.idle_.insert(room_.idle_.end(), this);
-      room_.notifyWaiter();
+      if (held_ && !idle_) {
+        idle_ = true;
+        idlePosition_ = quota_.idleSlots_.insert(quota_.idleSlots_.end(), this);
+      }
+      quota_.notifyWaiter();
     }
     void markBusy() {
       if (std::exchange(idle_, false))
-        room_.idle_.erase(at_);
+        quota_.idleSlots_.erase(idlePosition_);
     }
 
    private:
@@ -47,47 +52,53 @@
       markBusy();
       if (!std::exchange(held_, false))
         return;
-      --room_.held_;
-      room_.notifyWaiter();
+      --quota_.slotsHeld_;
+      quota_.notifyWaiter();
     }
-    ConnectionQuota& room_;
+    ConnectionQuota& quota_;
     std::function<void()> close_;
-    std::list<Slot*>::iterator at_;
-    bool held_ = true, idle_ = false;
+    std::list<Slot*>::iterator idlePosition_;
+    bool held_ = true;
+    bool idle_ = false;
   };
 
-  bool hasFreeSlot() const { return held_ < most_ || !idle_.empty(); }
+  // Whether acquire() can serve a connection within the quota, if need be by closing an idle one.
+  bool hasFreeSlot() const { return slotsHeld_ < maxSlots_ || !idleSlots_.empty(); }
+
   std::unique_ptr<Slot> acquire(std::function<void()> close) {
-    while (held_ >= most_ && !idle_.empty()) {
-      Slot& longest = *idle_.front();
-      longest.release();
-      longest.close_();
+    while (slotsHeld_ >= maxSlots_ && !idleSlots_.empty()) {
+      Slot& longestIdle = *idleSlots_.front();
+      longestIdle.release();
+      longestIdle.close_();
     }
     return std::make_unique<Slot>(*this, std::move(close));
   }
 
-  // Descriptors may be short all the same: who else can give one up does. False: nobody.
+  // The system may be out of descriptors even within the quota: asks another owner to close an idle connection. False if
+  // there is none to close.
   std::function<bool()> evictOther = [] { return false; };
 
-  // Raised once when there may be a place; asked again by who finds none then.
+  // Raises `signal` once when a slot may be free. A waiter that finds none then has to add itself again.
   void addWaiter(Signal& signal) {
-    if (std::ranges::find(waiting_, &signal) == waiting_.end())
-      waiting_.push_back(&signal);
+    if (std::ranges::find(waiters_, &signal) == waiters_.end())
+      waiters_.push_back(&signal);
   }
-  void removeWaiter(Signal& signal) { std::erase(waiting_, &signal); }
-  // To the first who waits, if there is a place.
+  void removeWaiter(Signal& signal) { std::erase(waiters_, &signal); }
+
+  // Raises the signal of the first waiter if a slot is free.
   void notifyWaiter() {
-    if (waiting_.empty() || !hasFreeSlot())
+    if (waiters_.empty() || !hasFreeSlot())
       return;
-    Signal* first = waiting_.front();
-    waiting_.pop_front();
+    Signal* first = waiters_.front();
+    waiters_.pop_front();
     first->raise();
   }
 
  private:
-  size_t most_, held_ = 0;
-  std::list<Slot*> idle_;  // the longest first
-  std::deque<Signal*> waiting_;
+  size_t maxSlots_;
+  size_t slotsHeld_ = 0;
+  std::list<Slot*> idleSlots_;  // the one idle for longest first
+  std::deque<Signal*> waiters_;
 };
 
 }  // namespace elmcleat
--- a/src/serve/discovery.cpp
+++ b/src/serve/discovery.cpp
@@ -11,32 +11,40 @@
 namespace elmcleat {
 namespace {
 
-// The change log writes a frame each second: when two have failed to come, nothing will.
-constexpr double kSilence = 2.5;
-// A change log that refuses, or breaks off before its first frame, is asked again as often as this: at once each
-// time, it would take the core.
-constexpr double kPause = 0.1;
-constexpr size_t kLeastLinks = 8;  // however few descriptors there are
-constexpr size_t kMostIn = 2 * FrameParser::kMaxFrameBytes, kMostOut = 64;
+// The change log sends a heartbeat each second. After this silence, in which two were missed, the connection counts as
+// dead.
+constexpr double kSilenceTimeoutSeconds = 2.5;
+
+// Pause before a reconnect to a change log that refused the connection or ended it before the first frame. Without a
+// pause the reconnects would use up the core.
+constexpr double kReconnectPauseSeconds = 0.1;
+
+constexpr size_t kMinEngineConnections = 8;  // the quota's lower limit, however few descriptors there are
+constexpr size_t kMaxInputBytes = 2 * FrameParser::kMaxFrameBytes;
+constexpr size_t kMaxOutputBytes = 64;
 
 }  // namespace
 
 Discovery::Discovery(Scheduler& scheduler, const Config& config, Dispatcher& dispatcher,
-                     std::unique_ptr<view::EngineSubset> view)
+                     std::unique_ptr<view::EngineSubset> subset)
     : scheduler_(scheduler),
       config_(config),
       dispatcher_(dispatcher),
       signal_(scheduler),
       mailbox_(signal_),
-      timer_(scheduler, [this] { late_ = true, signal_.raise(); }),
+      timer_(scheduler,
+             [this] {
+               timedOut_ = true;
+               signal_.raise();
+             }),
       changeLog_(config.changeLogAddress),
-      reader_(config.connectionSettings.zones, config.connectionSettings.kinds),
-      subset_(std::move(view)),
+      parser_(config.connectionSettings.zones, config.connectionSettings.kinds),
+      subset_(std::move(subset)),
       subsetTimer_(scheduler, [this] { updateSubset(); }),
-      connectionQuota_(std::max(config.maxDescriptors / 3, kLeastLinks)) {}
+      connectionQuota_(std::max(config.maxDescriptors / 3, kMinEngineConnections)) {}
 
-void Discovery::start(const std::vector<EngineListEvent>& known) {
-  for (auto& event : known)
+void Discovery::start(const std::vector<EngineListEvent>& initialEvents) {
+  for (auto& event : initialEvents)
     apply(event);
   task_ = run();
   task_.start();
@@ -47,82 +55,93 @@
     if (changeLog == changeLog_)
       return;
     info() << "change log: moves to " << formatAddress(changeLog);
-    changeLog_ = changeLog, moved_ = true;
+    changeLog_ = changeLog;
+    addressChanged_ = true;
   });
 }
 
 Task Discovery::run() {
-  auto within = [this](double span) { late_ = false, timer_.set(scheduler_.now() + span); };
-  bool evicted = false;  // once for each try
+  auto startTimer = [this](double seconds) {
+    timedOut_ = false;
+    timer_.set(scheduler_.now() + seconds);
+  };
+  bool evicted = false;  // at most one eviction for each attempt to connect
   for (bool first = true;; first = false) {
-    double began = scheduler_.now();
-    Stream stream(scheduler_, signal_, kMostIn, kMostOut);
-    within(config_.connectionSettings.connectTimeout);
-    moved_ = false;
+    double startedAt = scheduler_.now();
+    Stream stream(scheduler_, signal_, kMaxInputBytes, kMaxOutputBytes);
+    startTimer(config_.connectionSettings.connectTimeout);
+    addressChanged_ = false;
     stream.connect(changeLog_);
     if (stream.closeReason() == CloseReason::outOfDescriptors && !std::exchange(evicted, true) &&
         connectionQuota_.evictOther())
       continue;
     evicted = false;
-    bool up = false, heard = false;
+
+    // Request the events after the last known one, and apply them until the connection ends.
+    bool connected = false;
+    bool receivedFrame = false;
     while (stream.isOpen()) {
-      if (!up && stream.isConnected()) {
-        up = true;
-        stream.write(encodeResumeRequest(last_));
-        within(kSilence);
-        info() << "change log: connected, from event " << last_;
+      if (!connected && stream.isConnected()) {
+        connected = true;
+        stream.write(encodeResumeRequest(lastSequence_));
+        startTimer(kSilenceTimeoutSeconds);
+        info() << "change log: connected, from event " << lastSequence_;
       }
       stream.flush();
-      if (up && read(stream))
-        heard = true, within(kSilence);
-      if (moved_)
-        stream.close(CloseReason::replaced);  // after what it had told is read
-      if (late_)
-        stream.close(up ? CloseReason::unresponsive : CloseReason::connectTimedOut);
+      if (connected && read(stream)) {
+        receivedFrame = true;
+        startTimer(kSilenceTimeoutSeconds);
+      }
+      if (addressChanged_)
+        stream.close(CloseReason::replaced);  // only now, after the frames that had arrived were read
+      if (timedOut_)
+        stream.close(connected ? CloseReason::unresponsive : CloseReason::connectTimedOut);
       if (!stream.isOpen())
         break;
       co_await signal_;
       mailbox_.runAll();
     }
     timer_.clear();
-    if (up || first)
+    if (connected || first)
       warn() << "change log: connection ended: " << nameOf(stream.closeReason());
-    // What has told something, or is another, is asked at once, but never faster than what tells nothing.
-    if (moved_ || (heard && scheduler_.now() >= began + kPause))
+
+    // Reconnect at once if the address has changed, or if the connection delivered a frame and its attempt is at least
+    // one pause ago; otherwise pause first.
+    if (addressChanged_ || (receivedFrame && scheduler_.now() >= startedAt + kReconnectPauseSeconds))
       continue;
-    within(kPause);
-    while (!late_ && !moved_) {
+    startTimer(kReconnectPauseSeconds);
+    while (!timedOut_ && !addressChanged_) {
       co_await signal_;
       mailbox_.runAll();
     }
   }
 }
 
-// True if a frame came.
+// Reads and applies the frames that have arrived; true if there was one.
 bool Discovery::read(Stream& stream) {
-  bool any = false;
+  bool receivedFrame = false;
   do {
     stream.receive();
     EngineListEvent event;
     for (FrameParser::State state;
-         (state = reader_.next(stream.input(), event)) != FrameParser::State::needMore;) {
+         (state = parser_.next(stream.input(), event)) != FrameParser::State::needMore;) {
       if (state == FrameParser::State::malformed) {
         stream.close(CloseReason::malformed);
-        return any;
+        return receivedFrame;
       }
-      any = true;
-      if (state == FrameParser::State::heartbeat || event.sequence <= last_)
+      receivedFrame = true;
+      if (state == FrameParser::State::heartbeat || event.sequence <= lastSequence_)
         continue;
-      if (event.sequence > last_ + 1 && last_ > 0)
-        warn() << "change log: event " << event.sequence << " follows " << last_;
+      if (event.sequence > lastSequence_ + 1 && lastSequence_ > 0)
+        warn() << "change log: event " << event.sequence << " follows " << lastSequence_;
       apply(event);
     }
   } while (stream.isOpen() && stream.inputLimited());
-  return any;
+  return receivedFrame;
 }
 
 void Discovery::apply(const EngineListEvent& event) {
-  last_ = event.sequence;
+  lastSequence_ = event.sequence;
   if (!event.isFullList && event.engines.empty())
     return;
   if (!subset_) {
@@ -134,34 +153,38 @@
                      event.isFullList ? "whole list" : "changes");
 }
 
+// Widens or narrows the subset, if it is time to.
 void Discovery::updateSubset() {
   applySubsetChanges(subset_->tick(scheduler_.clock().toUnix(scheduler_.now())), "its own width");
 }
 
-// What is out of view costs no line, actor, timer or row of the module.
-void Discovery::applySubsetChanges(const std::vector<ListedEngine>& changes, const char* why) {
-  if (double at = subset_->nextWakeUp(); at < HUGE_VAL)
-    subsetTimer_.set(scheduler_.clock().fromUnix(int64_t(at * 1e3) + 1));
+// Only the changes within the subset are applied: engines outside it have no log line, actor, timer or row in the
+// module.
+void Discovery::applySubsetChanges(const std::vector<ListedEngine>& changes, const char* cause) {
+  if (double wakeUp = subset_->nextWakeUp(); wakeUp < HUGE_VAL)
+    subsetTimer_.set(scheduler_.clock().fromUnix(int64_t(wakeUp * 1e3) + 1));
   else
     subsetTimer_.clear();
   for (auto& line : subset_->takeWarnings())
     warn() << line;
   if (changes.empty())
     return;
-  auto figures = subset_->statistics();
-  info() << "view: " << changes.size() << " engines change by " << why << ", event " << last_ << ": "
-         << figures.inUse << " of " << figures.listed << " in use, reach " << figures.depth;
+  auto statistics = subset_->statistics();
+  info() << "view: " << changes.size() << " engines change by " << cause << ", event " << lastSequence_
+         << ": " << statistics.inUse << " of " << statistics.listed << " in use, reach " << statistics.depth;
   updateEngines(changes, false);
 }
 
-void Discovery::updateEngines(const std::vector<ListedEngine>& listings, bool whole) {
-  std::set<uint32_t> named;
+// Creates, updates and retires engines. With a full list, engines that it does not name are retired; retired engines
+// are removed once they have no connection left.
+void Discovery::updateEngines(const std::vector<ListedEngine>& listings, bool isFullList) {
+  std::set<uint32_t> listedIds;
   std::vector<EngineRecord> rows;
   for (auto& listing : listings) {
     EngineRecord& row = rows.emplace_back(listing.record);
     if (listing.startedAtUnixMs > 0)
       row.startedAt = scheduler_.clock().fromUnix(listing.startedAtUnixMs);
-    named.insert(row.id);
+    listedIds.insert(row.id);
     auto& engine = engines_[row.id];
     if (!engine)
       engine = std::make_unique<Engine>(scheduler_, config_.connectionSettings, dispatcher_, row.id,
@@ -171,22 +194,23 @@
     else
       engine->retire();
   }
-  for (auto at = engines_.begin(); at != engines_.end();) {
-    if (whole && !named.contains(at->first))
-      at->second->retire();  // not in a whole list: gone
-    at = at->second->isUnused() ? engines_.erase(at) : std::next(at);
+  for (auto entry = engines_.begin(); entry != engines_.end();) {
+    if (isFullList && !listedIds.contains(entry->first))
+      entry->second->retire();
+    entry = entry->second->isUnused() ? engines_.erase(entry) : std::next(entry);
   }
-  // Clients hold a third of all descriptors at most; as many are for engines, and the last third is to spare.
+  // Clients hold at most a third of all descriptors; engines get as many, and the last third is a reserve.
   connectionsPerEngine_ =
       std::max<size_t>(1, config_.maxDescriptors / 3 / std::max<size_t>(1, engines_.size()));
-  dispatcher_.updateEngines(whole ? EngineListKind::full : EngineListKind::delta, std::move(rows));
+  dispatcher_.updateEngines(isFullList ? EngineListKind::full : EngineListKind::delta, std::move(rows));
 }
 
-// --- from the dispatcher
-void Discovery::withEngine(uint32_t node, std::function<void(Engine&)> call) {
-  mailbox_.post([this, node, call = std::move(call)] {
+// --- EngineRouter: called by the dispatcher
+// Posts an action on one engine; nothing happens if the engine has been removed.
+void Discovery::withEngine(uint32_t node, std::function<void(Engine&)> action) {
+  mailbox_.post([this, node, action = std::move(action)] {
     if (auto found = engines_.find(node); found != engines_.end())
-      call(*found->second);
+      action(*found->second);
   });
 }
 
@@ -194,7 +218,7 @@
   mailbox_.post([this, node, context = std::move(context), until] {
     if (auto found = engines_.find(node); found != engines_.end())
       return found->second->send(context, until);
-    // It has gone, and was forgotten, since the module decided.
+    // The engine was removed after the module had chosen it.
     dispatcher_.sendFinished(context, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
   });
 }
@@ -215,11 +239,11 @@
   withEngine(node, [context = std::move(context)](Engine& engine) { engine.shortenDeadline(context); });
 }
 
-void Discovery::setEjected(uint32_t node, bool is) {
+void Discovery::setEjected(uint32_t node, bool ejected) {
   if (!subset_)
     return;
-  mailbox_.post([this, node, is] {
-    subset_->setEjected(node, is);
+  mailbox_.post([this, node, ejected] {
+    subset_->setEjected(node, ejected);
     updateSubset();
   });
 }
--- a/src/serve/dispatcher.cpp
+++ b/src/serve/dispatcher.cpp
@@ -9,16 +9,18 @@
 namespace elmcleat {
 
 Dispatcher::Dispatcher(Scheduler& scheduler, const Settings& settings, uint64_t seed,
-                       const std::optional<budget::BudgetSettings>& plan,
-                       const std::optional<Settings>& local)
+                       const std::optional<budget::BudgetSettings>& budgetSettings,
+                       const std::optional<Settings>& localSettings)
     : scheduler_(scheduler),
       signal_(scheduler),
       mailbox_(signal_),
-      wake_(scheduler, [this] { signal_.raise(); }),
-      budgets_(plan ? std::make_unique<budget::TreeScheduler>(*plan, settings.gatewayCount) : nullptr),
-      policy_(createPolicy(local.value_or(settings), seed, *this, budgets_.get())) {
-  if (plan)
-    actorHeader_ = toLower(plan->actorHeader);
+      wakeUp_(scheduler, [this] { signal_.raise(); }),
+      budgets_(budgetSettings
+                   ? std::make_unique<budget::TreeScheduler>(*budgetSettings, settings.gatewayCount)
+                   : nullptr),
+      policy_(createPolicy(localSettings.value_or(settings), seed, *this, budgets_.get())) {
+  if (budgetSettings)
+    actorHeader_ = toLower(budgetSettings->actorHeader);
 }
 
 void Dispatcher::start(EngineRouter& engines) {
@@ -38,23 +40,23 @@
   }
 }
 
-// --- from a front door
+// --- from client connections
 bool Dispatcher::submit(const std::shared_ptr<RequestContext>& context) {
-  if (!ids_.emplace(context->request.id, context).second)
+  if (!contextsById_.emplace(context->request.id, context).second)
     return false;
   mailbox_.post([this, context] {
     CommandRequest& request = context->request;
     request.clientDeadline = std::min(request.clientDeadline, drainDeadline_);
-    double left = std::max(0.0, request.clientDeadline - scheduler_.now());
+    double remainingTime = std::max(0.0, request.clientDeadline - scheduler_.now());
     context->command =
         policy_->submit({request.profile, request.tenant, request.tableGroup, request.orderingKey,
-                         request.estimatedWork, request.estimatedMemoryMb, left, request.users});
+                         request.estimatedWork, request.estimatedMemoryMb, remainingTime, request.users});
     contexts_.emplace(context->command.get(), context);
   });
   return true;
 }
 
-// The asker is forgotten at once, as it may not outlive this call; the module hears of it in its turn.
+// The responder is cleared at once, because it may not outlive this call; the module is informed in the next batch.
 void Dispatcher::withdraw(const std::shared_ptr<RequestContext>& context) {
   context->responder = nullptr;
   mailbox_.post([this, context] {
@@ -68,8 +70,8 @@
 }
 
 bool Dispatcher::withdraw(const std::string& id) {
-  auto found = ids_.find(id);
-  if (found == ids_.end() || found->second->finished)
+  auto found = contextsById_.find(id);
+  if (found == contextsById_.end() || found->second->finished)
     return false;
   auto context = found->second;
   if (context->responder)
@@ -78,56 +80,57 @@
   return true;
 }
 
-void Dispatcher::drain(double by) {
-  mailbox_.post([this, by] {
-    drainDeadline_ = by;
+void Dispatcher::drain(double deadline) {
+  mailbox_.post([this, deadline] {
+    drainDeadline_ = deadline;
     for (auto& [command, context] : contexts_) {
-      if (context->finished || context->request.clientDeadline <= by)
+      if (context->finished || context->request.clientDeadline <= deadline)
         continue;
-      context->request.clientDeadline = by;
-      context->command->shortenDeadline(by);
+      context->request.clientDeadline = deadline;
+      context->command->shortenDeadline(deadline);
       if (context->sendInFlight)
         engines_->shortenDeadline(sendsInFlight_.at(command), context);
     }
   });
 }
 
-// Budgets may change, not come and go: what is held stands in one order or the other.
-void Dispatcher::updateBudgets(const std::optional<budget::BudgetSettings>& plan) {
-  if (plan.has_value() != (budgets_ != nullptr)) {
+// Budgets can change but not be added or removed: queued commands are in the order of the one queue or the other.
+void Dispatcher::updateBudgets(const std::optional<budget::BudgetSettings>& budgetSettings) {
+  if (budgetSettings.has_value() != (budgets_ != nullptr)) {
     warn() << "budgets: the old ones stay: they can't be switched on or off without a restart";
-  } else if (plan && budgets_->hasSharedQuotas() &&
-             budget::fleetRates(*plan) != budget::fleetRates(budgets_->tree().settings())) {
+  } else if (budgetSettings && budgets_->hasSharedQuotas() &&
+             budget::fleetRates(*budgetSettings) != budget::fleetRates(budgets_->tree().settings())) {
     warn() << "budgets: the old ones stay: rates that are shared change at a start alone";
-  } else if (plan) {
-    mailbox_.post([this, plan = *plan] {
-      budgets_->reconfigure(plan), actorHeader_ = toLower(plan.actorHeader);
-      info() << "budgets: changed, " << plan.entries.size() << " nodes";
+  } else if (budgetSettings) {
+    mailbox_.post([this, budgetSettings = *budgetSettings] {
+      budgets_->reconfigure(budgetSettings);
+      actorHeader_ = toLower(budgetSettings.actorHeader);
+      info() << "budgets: changed, " << budgetSettings.entries.size() << " nodes";
     });
   }
 }
 
-void Dispatcher::updateQuotas(std::vector<shared::AvailableQuota> usable,
-                              std::function<void(std::vector<double>)> heeded) {
-  mailbox_.post([this, usable = std::move(usable), heeded = std::move(heeded)]() mutable {
-    budgets_->setQuotas(std::move(usable));
-    heeded(budgets_->demand());
+void Dispatcher::updateQuotas(std::vector<shared::AvailableQuota> quotas,
+                              std::function<void(std::vector<double>)> reportDemand) {
+  mailbox_.post([this, quotas = std::move(quotas), reportDemand = std::move(reportDemand)]() mutable {
+    budgets_->setQuotas(std::move(quotas));
+    reportDemand(budgets_->demand());
   });
 }
 
-// --- from engines and the list
-void Dispatcher::sendFinished(const std::shared_ptr<RequestContext>& context, Outcome what, double took,
-                              std::optional<ResourceUsage> usage, std::optional<LoadReport> report,
+// --- from engines and discovery
+void Dispatcher::sendFinished(const std::shared_ptr<RequestContext>& context, Outcome outcome, double took,
+                              std::optional<ResourceUsage> usage, std::optional<LoadReport> loadReport,
                               std::optional<std::string> rows) {
-  mailbox_.post([this, context, what, took, usage, report, rows = std::move(rows)]() mutable {
+  mailbox_.post([this, context, outcome, took, usage, loadReport, rows = std::move(rows)]() mutable {
     context->sendInFlight = false;
     sendsInFlight_.erase(context->command.get());
-    if (what == Outcome::answered && !context->finished) {
+    if (outcome == Outcome::answered && !context->finished) {
       context->finished = true;
       respond(*context, {Response::Kind::served, std::move(*rows), 0});
     }
-    context->command->sendFinished(what, took, context->finished, usage ? &*usage : nullptr,
-                                   report ? &*report : nullptr);
+    context->command->sendFinished(outcome, took, context->finished, usage ? &*usage : nullptr,
+                                   loadReport ? &*loadReport : nullptr);
     removeIfFinished(context);
   });
 }
@@ -140,27 +143,30 @@
   });
 }
 
-void Dispatcher::probeFinished(uint32_t node, Outcome what, std::optional<LoadReport> report) {
-  mailbox_.post(
-      [this, node, what, report] { policy_->probeFinished(node, what, report ? &*report : nullptr); });
+void Dispatcher::probeFinished(uint32_t node, Outcome outcome, std::optional<LoadReport> loadReport) {
+  mailbox_.post([this, node, outcome, loadReport] {
+    policy_->probeFinished(node, outcome, loadReport ? &*loadReport : nullptr);
+  });
 }
 
 void Dispatcher::updateEngines(EngineListKind kind, std::vector<EngineRecord> rows) {
   mailbox_.post([this, kind, rows = std::move(rows)] { policy_->updateEngines(kind, rows); });
 }
 
-// --- what the module wants
-void Dispatcher::send(Command& command, uint32_t node, double timeout, double beginBy) {
+// --- ActionSink: the module's actions
+void Dispatcher::send(Command& command, uint32_t node, double timeout, double startDeadline) {
   auto context = contextOf(command);
-  double end = context->request.responseDeadline(), now = scheduler_.now();
-  context->sendInFlight = true, context->startDeadline = beginBy;
+  double responseDeadline = context->request.responseDeadline();
+  double now = scheduler_.now();
+  context->sendInFlight = true;
+  context->startDeadline = startDeadline;
   sendsInFlight_[&command] = node;
-  engines_->send(node, context, timeout > 0 ? std::min(now + timeout, end) : end);
+  engines_->send(node, context, timeout > 0 ? std::min(now + timeout, responseDeadline) : responseDeadline);
 }
 
 void Dispatcher::setPriorityAndMemory(Command& command, int priority, double) {
   auto context = contextOf(command);
-  context->priority = priority;  // the lines spoken with engines have no word for a memory grant
+  context->priority = priority;  // the engine protocol has no field for a memory grant
   if (context->sendInFlight)
     engines_->reprioritise(sendsInFlight_.at(&command), context);
 }
@@ -172,7 +178,8 @@
 }
 
 void Dispatcher::shed(Command& command, double retryAfter) {
-  if (budgets_ && budgets_->tree().settings().adviseRetryAfter)  // what it would be told if it came again now
+  // With budgets the advice is at least the wait that the command would be given if it were submitted again now.
+  if (budgets_ && budgets_->tree().settings().adviseRetryAfter)
     retryAfter = std::max(retryAfter, budgets_->estimateNow(command).p90);
   respond(*contextOf(command), {Response::Kind::shed, {}, retryAfter});
 }
@@ -183,7 +190,7 @@
 
 void Dispatcher::log(const std::string& line) { info() << "module: " << line; }
 
-// --- ends
+// --- end of a command
 void Dispatcher::respond(RequestContext& context, Response response) {
   if (!std::exchange(context.finished, true))
     finishedInBatch_.push_back(contextOf(*context.command));
@@ -191,11 +198,11 @@
     responder->respond(std::move(response));
 }
 
-// Forgets a command that is over and has nothing out. Until then its id stays taken: under it engines and we
-// would mistake one send for the other.
+// Removes a finished command that has no send in flight. Until then its id stays in use: with a new command under the
+// same id, engines and this gateway would confuse the two sends.
 void Dispatcher::removeIfFinished(const std::shared_ptr<RequestContext>& context) {
   if (context->finished && !context->sendInFlight && contexts_.erase(context->command.get()))
-    ids_.erase(context->request.id);
+    contextsById_.erase(context->request.id);
 }
 
 }  // namespace elmcleat
--- a/src/serve/dispatcher.h
+++ b/src/serve/dispatcher.h
@@ -1,6 +1,7 @@
-// The dispatcher: the module's actor. All that happens is posted here; a batch is advanceTo(now), the mailbox drained,
-// decide() once. What the module then wants done goes straight to the engines and the askers. Every protocol
-// that clients speak goes through submit(), withdraw() and Responder.
+// The dispatcher: the actor around the decision module (Policy). Every event from clients, engines and discovery is
+// posted to its mailbox. It processes them in batches: advanceTo(now), all posted tasks, then decide() once. The actions
+// that the module decides on (ActionSink) go straight to the engines and responders. Every client protocol uses
+// submit(), withdraw() and Responder.
 #pragma once
 #include <functional>
 #include <memory>
@@ -15,70 +16,77 @@
 
 namespace elmcleat {
 
-// Who carries out what the module decides on engines.
+// Carries out on engines what the module decides. `node` is the engine's id.
 class EngineRouter {
  public:
   virtual ~EngineRouter() = default;
+  // `until`: when the send times out.
   virtual void send(uint32_t node, std::shared_ptr<RequestContext> context, double until) = 0;
   virtual void reprioritise(uint32_t node, std::shared_ptr<RequestContext> context) = 0;
   virtual void cancel(uint32_t node, std::shared_ptr<RequestContext> context) = 0;
-  virtual void shortenDeadline(
-      uint32_t node,
-      std::shared_ptr<RequestContext> context) = 0;  // to the command's end, which is sooner
-  // Its client has gone: what has not begun to go out never will. Needs no right to cancel.
+  // The command's deadline is earlier now: its send has to end by then.
+  virtual void shortenDeadline(uint32_t node, std::shared_ptr<RequestContext> context) = 0;
+  // The client has gone: a send of which nothing has been transmitted never will be. This is allowed without the right
+  // to cancel.
   virtual void withdraw(uint32_t node, std::shared_ptr<RequestContext> context) = 0;
   virtual void probe(uint32_t node) = 0;
-  virtual void setEjected(uint32_t node, bool is) = 0;  // the module has found it unfit, or fit again
+  // The module has ejected the engine as unhealthy, or has readmitted it.
+  virtual void setEjected(uint32_t node, bool ejected) = 0;
 };
 
 class Dispatcher final : public ActionSink {
  public:
-  // With a plan, budgets stand over the module's turns; without one it decides alone. `local`: what the module is told
-  // of its part of the fleet, where it sees a part alone; budgets are divided by all gateways in any case.
+  // With `budgetSettings`, budgets order the module's queues; without, the module decides alone. `localSettings`: the
+  // module's settings for the part of the fleet that this gateway uses, if it uses a part only; budgets are divided by
+  // the number of all gateways in any case.
   Dispatcher(Scheduler& scheduler, const Settings& settings, uint64_t seed,
-             const std::optional<budget::BudgetSettings>& plan = {},
-             const std::optional<Settings>& local = {});
+             const std::optional<budget::BudgetSettings>& budgetSettings = {},
+             const std::optional<Settings>& localSettings = {});
   void start(EngineRouter& engines);
 
-  // From a front door. False: a command with this id is in hand.
+  // From client connections. False if a command with this id is in flight.
   bool submit(const std::shared_ptr<RequestContext>& context);
+  // The client has gone.
   void withdraw(const std::shared_ptr<RequestContext>& context);
-  bool withdraw(const std::string& id);  // false: no such command is in hand
+  // Withdraws a command on behalf of another connection; false if no command with this id is in flight.
+  bool withdraw(const std::string& id);
 
-  // Graceful shutdown: whatever is in hand, and whatever still comes, gets its answer by then.
-  void drain(double by);
+  // Graceful shutdown: every command in flight, and every further one, is answered by `deadline`.
+  void drain(double deadline);
 
-  // From engines.
-  void sendFinished(const std::shared_ptr<RequestContext>& context, Outcome what, double took,
-                    std::optional<ResourceUsage> usage, std::optional<LoadReport> report,
+  // From engines. `took` is in seconds.
+  void sendFinished(const std::shared_ptr<RequestContext>& context, Outcome outcome, double took,
+                    std::optional<ResourceUsage> usage, std::optional<LoadReport> loadReport,
                     std::optional<std::string> rows);
   void statusReported(const std::shared_ptr<RequestContext>& context, StatusTopic topic, double level);
-  void probeFinished(uint32_t node, Outcome what, std::optional<LoadReport> report);
+  void probeFinished(uint32_t node, Outcome outcome, std::optional<LoadReport> loadReport);
 
-  // The header, in lower case, that names users below the tenant; empty: none.
+  // The request header, in lower case, that names users below the tenant; empty if there is none.
   const std::string& actorHeader() const { return actorHeader_; }
-  // Budgets read again, with commands in hand.
-  void updateBudgets(const std::optional<budget::BudgetSettings>& plan);
 
-  // Rates of budgets that are shared with other gateways: what may be used here, and what there is use for (budget::TreeScheduler).
-  void updateQuotas(std::vector<shared::AvailableQuota> usable,
-                    std::function<void(std::vector<double>)> heeded);
+  // Budgets after a reload of the configuration; commands may be in flight. Budgets can't be switched on or off.
+  void updateBudgets(const std::optional<budget::BudgetSettings>& budgetSettings);
 
-  // From the list.
+  // For rates shared with other gateways: `quotas` may be used here from now on; `reportDemand` is called with the
+  // demand for each (budget::TreeScheduler).
+  void updateQuotas(std::vector<shared::AvailableQuota> quotas,
+                    std::function<void(std::vector<double>)> reportDemand);
+
+  // From discovery.
   void updateEngines(EngineListKind kind, std::vector<EngineRecord> rows);
 
  private:
-  // What the module wants (ActionSink).
-  void send(Command& command, uint32_t node, double timeout, double beginBy) override;
+  // ActionSink: the module's actions.
+  void send(Command& command, uint32_t node, double timeout, double startDeadline) override;
   void setPriorityAndMemory(Command& command, int priority, double memoryMb) override;
-  void cancel(Command& command, int sendNo) override;
+  void cancel(Command& command, int sendNumber) override;
   void shed(Command& command, double retryAfter) override;
   void fail(Command& command) override;
   void probe(uint32_t node) override;
-  void requestEngineList() override {}  // the list is followed from the start
-  void scheduleWakeUp(double at) override { wake_.set(at); }
+  void requestEngineList() override {}  // discovery follows the list from the start
+  void scheduleWakeUp(double at) override { wakeUp_.set(at); }
   void log(const std::string& line) override;
-  void ejectionChanged(uint32_t node, bool is) override { engines_->setEjected(node, is); }
+  void ejectionChanged(uint32_t node, bool ejected) override { engines_->setEjected(node, ejected); }
 
   Task run();
   void respond(RequestContext& context, Response response);
@@ -88,14 +96,15 @@
   Scheduler& scheduler_;
   Signal signal_;
   Mailbox mailbox_;
-  Timer wake_;
+  Timer wakeUp_;
   EngineRouter* engines_ = nullptr;
-  std::unique_ptr<budget::TreeScheduler> budgets_;  // before the gateway: it must outlive it
+  std::unique_ptr<budget::TreeScheduler> budgets_;  // declared before policy_, which it must outlive
   std::unique_ptr<Policy> policy_;
+  // The commands in flight, by handle and by id.
   std::unordered_map<const Command*, std::shared_ptr<RequestContext>> contexts_;
-  std::unordered_map<const Command*, uint32_t> sendsInFlight_;  // where the send is that has no outcome
-  std::unordered_map<std::string, std::shared_ptr<RequestContext>> ids_;  // of the same
-  std::vector<std::shared_ptr<RequestContext>> finishedInBatch_;          // ended by the module in this batch
+  std::unordered_map<const Command*, uint32_t> sendsInFlight_;  // engine of the send that has no outcome yet
+  std::unordered_map<std::string, std::shared_ptr<RequestContext>> contextsById_;
+  std::vector<std::shared_ptr<RequestContext>> finishedInBatch_;  // finished by the module in this batch
   std::string actorHeader_;
   double drainDeadline_ = HUGE_VAL;
   Task task_;
--- a/src/serve/engine.h
+++ b/src/serve/engine.h
@@ -1,4 +1,5 @@
-// An engine: the actor that speaks with one. It owns the connections to it and the sends that are out there.
+// One engine, and the actor that communicates with it. It owns the connections to the engine, the sends and probes that
+// are in flight on them, and the sends that wait for a connection. It reports every outcome to the dispatcher.
 #pragma once
 #include <list>
 #include <map>
@@ -19,17 +20,18 @@
 
 class Engine {
  public:
-  // `most`: connections that it should do with; the fleet's number of engines decides, so it changes. `room`: those of
-  // all engines together.
+  // `maxConnections`: how many connections are opened before sends share them. It depends on the number of engines, so
+  // it changes. `connectionQuota`: for the connections of all engines together.
   Engine(Scheduler& scheduler, const ConnectionSettings& settings, Dispatcher& dispatcher, uint32_t id,
-         const size_t& most, ConnectionQuota& room);
+         const size_t& maxConnections, ConnectionQuota& connectionQuota);
   ~Engine() { connectionQuota_.removeWaiter(signal_); }
 
-  // From the list. A start at another address or time is another process: what is connected is the old one.
-  void setAddress(const Address& address, std::optional<double> started);
-  void retire();  // drains or gone: what runs there goes on, nothing new goes out
+  // From discovery. Another address or start time means another process: open connections are to the old one.
+  void setAddress(const Address& address, std::optional<double> startedAt);
+  // The engine is draining or was removed: sends that are running there go on, none is started.
+  void retire();
 
-  // From the dispatcher.
+  // From the dispatcher (EngineRouter).
   void send(std::shared_ptr<RequestContext> context, double until);
   void reprioritise(std::shared_ptr<RequestContext> context);
   void cancel(std::shared_ptr<RequestContext> context);
@@ -37,41 +39,48 @@
   void shortenDeadline(std::shared_ptr<RequestContext> context);
   void probe();
 
+  // Whether it is retired and has nothing left to do, so that it may be destroyed.
   bool isUnused() const { return retired_ && connections_.empty() && waiting_.empty() && mailbox_.empty(); }
 
  private:
   struct EngineConnection;
-  struct Send {  // a command's send, from the dispatcher's word to its outcome
-    Send(Scheduler& scheduler, std::function<void()> due, std::function<void()> late)
-        : deadlineTimer(scheduler, std::move(due)), silenceTimer(scheduler, std::move(late)) {}
+
+  // A send that has been assigned to a connection and has no outcome yet.
+  struct Send {
+    Send(Scheduler& scheduler, std::function<void()> onDeadline, std::function<void()> onSilence)
+        : deadlineTimer(scheduler, std::move(onDeadline)), silenceTimer(scheduler, std::move(onSilence)) {}
     std::shared_ptr<RequestContext> context;
-    double sentAt = 0, deadlineAt = 0;
-    std::optional<uint64_t> streamPosition;  // in the stream; none while the connection comes up
-    std::optional<Outcome> abandonedAs;      // the engine was told, but may not have heard it
+    double startedAt = 0;
+    double deadlineAt = 0;
+    std::optional<uint64_t> streamPosition;  // none until the connection is established
+    std::optional<Outcome> abandonedAs;      // the engine was told to drop it, but may not have read that yet
     ResultAssembler pages;
     Timer deadlineTimer;
-    Timer silenceTimer;  // notes on it, or its answer, have been due for too long
+    Timer silenceTimer;  // fires when status messages or the response are overdue
   };
-  struct EngineConnection {  // one connection
-    EngineConnection(Scheduler& scheduler, Signal& signal, std::function<void()> late);
+
+  struct EngineConnection {
+    EngineConnection(Scheduler& scheduler, Signal& signal, std::function<void()> onTimeout);
     std::unique_ptr<ConnectionQuota::Slot> slot;
     Stream stream;
-    EngineResponseParser reader;
-    Timer timer;  // the connection's own: it must come up, or be heard, in time, and is closed when idle
-    Timer responseTimer;              // what has been begun, or asked for and lies ready, must come in time
-    bool responseIncomplete = false;  // and some of it has not
-    int unmatchedResponses = 0;       // answers to nothing asked, since the last one to something
+    EngineResponseParser parser;
+    Timer timer;                      // connect timeout, time for a suspect connection, or idle timeout
+    Timer responseTimer;              // time for the rest of a response that has begun
+    bool responseIncomplete = false;  // a part of a response, or a page that was requested, is missing
+    int unmatchedResponses = 0;       // in a row: responses that match no send or probe
     bool connected = false;
-    bool retired = false;  // takes nothing new
-    bool suspect = false;  // a send was given up and nothing has come since
-    std::map<std::string, std::unique_ptr<Send>, std::less<>> sends;
-    std::map<std::string, std::unique_ptr<Timer>, std::less<>> probes;  // by tag; each with its time limit
-    std::map<std::string, double, std::less<>> droppedAt;               // ended when: an answer may come yet
+    bool retired = false;  // takes no new sends
+    bool suspect = false;  // a send was abandoned on it, and nothing has been received since
+    std::map<std::string, std::unique_ptr<Send>, std::less<>> sends;    // by command id
+    std::map<std::string, std::unique_ptr<Timer>, std::less<>> probes;  // timeouts of probes, by tag
+    std::map<std::string, double, std::less<>>
+        droppedAt;  // ended sends and probes: a response may still come
   };
 
-  struct WaitingSend {  // a send for which there is no connection yet: it has not been tried
-    WaitingSend(Scheduler& scheduler, std::function<void()> late)
-        : deadlineTimer(scheduler, std::move(late)) {}
+  // A send that waits for a connection; nothing of it has been transmitted.
+  struct WaitingSend {
+    WaitingSend(Scheduler& scheduler, std::function<void()> onDeadline)
+        : deadlineTimer(scheduler, std::move(onDeadline)) {}
     std::shared_ptr<RequestContext> context;
     double deadlineAt = 0;
     Timer deadlineTimer;
@@ -80,33 +89,34 @@
   Task run();
   void startSend(std::shared_ptr<RequestContext> context, double until);
   void startWaiting();
-  void endWaiting(const RequestContext& context, CloseReason ending);
+  void endWaiting(const RequestContext& context, CloseReason reason);
   void serve(EngineConnection& connection);
   void handleResponse(EngineConnection& connection, EngineResponse& response);
   void handlePage(EngineConnection& connection, Send& send, EngineResponse& response);
-  void updateResponseTimer(EngineConnection& connection, bool news);
+  void updateResponseTimer(EngineConnection& connection, bool responseCompleted);
   void restartSilenceTimer(Send& send);
   void connectionClosed(EngineConnection& connection);
 
   EngineConnection* connectionFor(const RequestContext& context);
   EngineConnection* connectionForProbe();
-  EngineConnection& connect(bool again = true);
+  EngineConnection& connect(bool mayEvict = true);
   void connectionTimedOut(EngineConnection& connection);
-  void write(EngineConnection& connection, Send& send);
+  void writeSend(EngineConnection& connection, Send& send);
   bool mayStart(const RequestContext& context) const {
     return context.isAwaited() && scheduler_.now() < context.startDeadline;
   }
   bool finishIfNotStarted(EngineConnection& connection, Send& send);
   void deadlineReached(EngineConnection& connection, Send& send);
-  void abandon(EngineConnection& connection, Send& send, Outcome what);
-  void drop(EngineConnection& connection, const std::string& id);
+  void abandon(EngineConnection& connection, Send& send, Outcome outcome);
+  void recordDropped(EngineConnection& connection, const std::string& id);
   void receivedFrom(EngineConnection& connection);
   void suspectConnections();
-  void finish(EngineConnection& connection, Send& send, Outcome what, std::optional<ResourceUsage> usage = {},
-              std::optional<LoadReport> report = {}, std::optional<std::string> rows = {});
+  void finish(EngineConnection& connection, Send& send, Outcome outcome,
+              std::optional<ResourceUsage> usage = {}, std::optional<LoadReport> loadReport = {},
+              std::optional<std::string> rows = {});
   void setIdleIfUnused(EngineConnection& connection);
   void retireConnections();
-  std::pair<EngineConnection*, Send*> find(const RequestContext& context);
+  std::pair<EngineConnection*, Send*> findSend(const RequestContext& context);
   std::string name() const;
 
   Scheduler& scheduler_;
@@ -116,11 +126,11 @@
   const size_t& maxConnections_;
   ConnectionQuota& connectionQuota_;
   Address address_;
-  std::optional<double> started_;
+  std::optional<double> startedAt_;
   bool retired_ = false;
-  uint64_t probes_ = 0;
-  size_t sends_ = 0;
-  double quietSince_ = 0;  // sends have been out, and nothing came from this engine, since
+  uint64_t probesSent_ = 0;
+  size_t sendsInFlight_ = 0;
+  double silentSince_ = 0;  // time of the last input from the engine, or of the first send if that is later
   Signal signal_;
   Mailbox mailbox_;
   std::list<std::unique_ptr<EngineConnection>> connections_;
--- a/src/serve/listener.cpp
+++ b/src/serve/listener.cpp
@@ -13,25 +13,35 @@
 namespace elmcleat {
 namespace {
 
-// After SIGTERM new connections come for up to 0.4 s, and requests on open ones for 0.2 s more; what comes
-// later than 0.7 s is owed nothing.
-constexpr double kComing = 0.7;
-// A request that crosses our close within 50 ms is sent again by its client; what is told that we end has twice that to
-// hear it. Until then what still comes is read, as a close over unread bytes would reset the connection and overtake
-// the last answer.
-constexpr double kParting = 0.1;
-// SIGKILL comes no sooner than kComing and the longest deadline after SIGTERM, and no deadline counts as longer than
-// this. All answers are out a little before.
-constexpr double kLongest = 3, kSpare = 0.2;
-constexpr double kPause = 0.02;  // until accepting is tried again without a descriptor
-// Descriptors for the list, the listener, the log and the like, and for clients that are turned away.
-constexpr size_t kOwn = 8, kTurnedAway = 8, kLeast = 16;
-
-// Usual clients hold a third of the descriptors at most; a third, and our own, are kept from all clients, so that
-// a flood of them leaves the engines theirs.
-size_t mostClients(size_t sockets) {
-  size_t kept = sockets / 3 + kOwn + kTurnedAway;
-  return std::max(sockets > kept ? sockets - kept : 0, kLeast);
+// After SIGTERM new connections arrive for up to 0.4 s, and requests on open connections for 0.2 s more. A request
+// that arrives later than 0.7 s after SIGTERM need not be answered.
+constexpr double kAcceptWhileDrainingSeconds = 0.7;
+
+// A request that crosses our half-close within 50 ms is repeated by its client; clients get twice that to see the
+// half-close. Until then we still read, because a close with unread bytes would reset the connection, and the reset
+// could overtake the last response.
+constexpr double kHalfCloseGraceSeconds = 0.1;
+
+// SIGKILL follows SIGTERM no sooner than kAcceptWhileDrainingSeconds plus the longest client timeout, of which at most
+// this much counts.
+constexpr double kMaxDrainTimeoutSeconds = 3;
+// All responses are sent this long before that.
+constexpr double kDrainMarginSeconds = 0.2;
+
+// How long accepting pauses when there is no descriptor for a new connection.
+constexpr double kAcceptBackoffSeconds = 0.02;
+
+// Descriptors for the change log, the listening socket, the log and the like.
+constexpr size_t kOwnDescriptors = 8;
+// Connections beyond the limit that are accepted only to shed their first request.
+constexpr size_t kMaxShedConnections = 8;
+constexpr size_t kMinConnections = 16;
+
+// Served clients hold about a third of the descriptors in normal operation. A third, and those that we need ourselves,
+// are kept from all clients, so that a flood of connections leaves enough for the engines.
+size_t maxClientConnections(size_t descriptors) {
+  size_t reserved = descriptors / 3 + kOwnDescriptors + kMaxShedConnections;
+  return std::max(descriptors > reserved ? descriptors - reserved : 0, kMinConnections);
 }
 
 }  // namespace
@@ -40,7 +50,7 @@
     : scheduler_(scheduler),
       config_(config),
       dispatcher_(dispatcher),
-      maxConnections_(mostClients(config.maxDescriptors)),
+      maxConnections_(maxClientConnections(config.maxDescriptors)),
       memory_{config.memoryMb * (1 << 20) / 4},
       signal_(scheduler),
       acceptRetryTimer_(scheduler, [this] { signal_.raise(); }),
@@ -51,7 +61,7 @@
       }) {}
 
 void Listener::open() {
-  listener_ = std::make_unique<Descriptor>(scheduler_, listenOn(config_.listenAddress), signal_);
+  listeningSocket_ = std::make_unique<Descriptor>(scheduler_, listenOn(config_.listenAddress), signal_);
   task_ = run();
   task_.start();
 }
@@ -59,36 +69,38 @@
 void Listener::drain() {
   if (std::exchange(draining_, true))
     return;
-  info() << "leaving: " << clients_.size() << " connections open";
-  drainTimer_.set(scheduler_.now() + kComing);
-  double longest = 0;
+  info() << "leaving: " << connections_.size() << " connections open";
+  drainTimer_.set(scheduler_.now() + kAcceptWhileDrainingSeconds);
+  double longestTimeout = 0;
   for (auto& profile : config_.settings.profiles)
-    longest = std::max(longest, profile.clientTimeout);
-  if (longest <= 0)
-    longest = kLongest;  // the settings name none
-  dispatcher_.drain(scheduler_.now() + kComing + std::min(longest, kLongest) - kSpare);
+    longestTimeout = std::max(longestTimeout, profile.clientTimeout);
+  if (longestTimeout <= 0)
+    longestTimeout = kMaxDrainTimeoutSeconds;  // no profile sets a client timeout
+  dispatcher_.drain(scheduler_.now() + kAcceptWhileDrainingSeconds +
+                    std::min(longestTimeout, kMaxDrainTimeoutSeconds) - kDrainMarginSeconds);
 }
 
-// Whoever connected in time is in the listener's queue, which ends with it.
+// Connections that were made in time wait in the accept queue, which is lost when the socket is closed: they are
+// accepted first.
 void Listener::close() {
   for (size_t i = 0; i < maxConnections_ && accept(); ++i) {
   }
   closed_ = true;
-  listener_.reset();
-  for (auto& [client, held] : clients_)
-    client->drain();
-  endIfDone();
+  listeningSocket_.reset();
+  for (auto& [connection, owner] : connections_)
+    connection->drain();
+  stopIfDrained();
 }
 
 Task Listener::run() {
   while (true) {
-    while (listener_) {
-      if (clients_.size() >= maxConnections_ + kTurnedAway) {
-        co_await signal_.afterOthers();  // those that are closed leave
-        if (!listener_)
-          break;  // and the time to close may have come
-        if (clients_.size() >= maxConnections_ + kTurnedAway) {
-          acceptRetryTimer_.set(scheduler_.now() + kPause);
+    while (listeningSocket_) {
+      if (connections_.size() >= maxConnections_ + kMaxShedConnections) {
+        co_await signal_.afterOthers();  // lets closed connections be removed
+        if (!listeningSocket_)
+          break;  // drainTimer_ may have fired meanwhile
+        if (connections_.size() >= maxConnections_ + kMaxShedConnections) {
+          acceptRetryTimer_.set(scheduler_.now() + kAcceptBackoffSeconds);
           break;
         }
       }
@@ -96,69 +108,72 @@
         break;
     }
     co_await signal_;
-    // Connections that were open before are read first: a command that comes on a new one may have come later
-    // than theirs, and commands of one key are taken in the order in which they came.
+    // Open connections are read before new ones are accepted: a command on a new connection may have arrived after
+    // theirs, and commands with the same ordering key are submitted in order of arrival.
     co_await signal_.afterOthers();
   }
 }
 
-// False: there is nobody, or no descriptor for who comes.
+// False if no connection waits, or if there is no descriptor for it.
 bool Listener::accept() {
   while (true) {
-    int fd = ::accept4(listener_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    int fd = ::accept4(listeningSocket_->fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      admit(fd, clients_.size() >= maxConnections_ && !evictIdle());
+      admit(fd, connections_.size() >= maxConnections_ && !evictIdle());
       return true;
     }
     if (errno == EAGAIN)
       return false;
-    bool none = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
-    if (!none || evictIdle())
-      continue;  // whatever else is wrong is wrong with that connection alone
+    bool outOfResources = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
+    if (!outOfResources || evictIdle())
+      continue;  // any other error concerns that one connection alone
     warn() << "door: no descriptor for a connection: " << std::strerror(errno);
-    acceptRetryTimer_.set(scheduler_.now() + kPause);
+    acceptRetryTimer_.set(scheduler_.now() + kAcceptBackoffSeconds);
     return false;
   }
 }
 
-// The first read is made at once, before the next connection is accepted.
-void Listener::admit(int fd, bool full) {
-  auto client =
-      std::make_shared<ClientConnection>(scheduler_, config_.settings, dispatcher_, memory_, fd, full);
-  ClientConnection* who = client.get();
-  who->onFinished([this] { endIfDone(); }, [this, who] { connectionClosed(who); });
-  clients_.emplace(who, std::move(client));
-  who->start();
+// The connection is read once at its start, before the next one is accepted.
+void Listener::admit(int fd, bool overLimit) {
+  auto owner =
+      std::make_shared<ClientConnection>(scheduler_, config_.settings, dispatcher_, memory_, fd, overLimit);
+  ClientConnection* connection = owner.get();
+  connection->onFinished([this] { stopIfDrained(); }, [this, connection] { connectionClosed(connection); });
+  connections_.emplace(connection, std::move(owner));
+  connection->start();
 }
 
-// First who has had its last answer, then who has connected and said nothing, or nothing whole; then who has been idle
-// for longest.
+// Order of eviction: first connections that have been sent their last response, then those that have not sent a whole
+// request yet, then the one that has been idle for longest.
 bool Listener::evictIdle() {
   std::vector<ClientConnection*> idle;
-  for (auto& [client, held] : clients_)
-    if (client->idle())
-      idle.push_back(client);
-  std::ranges::sort(idle, {}, [](ClientConnection* client) {
-    return std::tuple(!client->isClosing(), client->hasSentRequest(), client->idleSince());
+  for (auto& [connection, owner] : connections_)
+    if (connection->isIdle())
+      idle.push_back(connection);
+  std::ranges::sort(idle, {}, [](ClientConnection* connection) {
+    return std::tuple(!connection->isClosing(), connection->hasSentRequest(), connection->idleSince());
   });
-  return std::ranges::any_of(idle, [](ClientConnection* client) { return client->tryEvict(); });
+  return std::ranges::any_of(idle, [](ClientConnection* connection) { return connection->tryEvict(); });
 }
 
-void Listener::connectionClosed(ClientConnection* client) {
-  auto held = clients_.extract(client);
-  if (!held.empty())
-    scheduler_.destroyLater(std::move(held.mapped()));
-  endIfDone();
+void Listener::connectionClosed(ClientConnection* connection) {
+  auto entry = connections_.extract(connection);
+  if (!entry.empty())
+    scheduler_.destroyLater(std::move(entry.mapped()));
+  stopIfDrained();
 }
 
-void Listener::endIfDone() {
+// After the listening socket is closed: stops the scheduler at once if no connection is left, or after the grace
+// period if the remaining ones have no pending response.
+void Listener::stopIfDrained() {
   if (!closed_)
     return;
-  bool owed = std::ranges::any_of(clients_, [](auto& held) { return held.first->hasPendingResponse(); });
-  if (owed)
+  bool pending =
+      std::ranges::any_of(connections_, [](auto& entry) { return entry.first->hasPendingResponse(); });
+  if (pending)
     closeTimer_.clear();
-  else if (clients_.empty() || !closeTimer_.isSet())
-    closeTimer_.set(scheduler_.now() + (clients_.empty() ? 0 : kParting));
+  else if (connections_.empty() || !closeTimer_.isSet())
+    closeTimer_.set(scheduler_.now() + (connections_.empty() ? 0 : kHalfCloseGraceSeconds));
 }
 
 }  // namespace elmcleat
--- a/src/serve/outcome.cpp
+++ b/src/serve/outcome.cpp
@@ -2,11 +2,11 @@
 
 namespace elmcleat {
 
-Outcome outcomeOf(CloseReason ending, bool begun) {
-  if (begun)
-    return ending == CloseReason::timedOut ? Outcome::timedOut : Outcome::reset;
-  switch (ending) {
-    // Nothing was tried at the engine, so nothing is said of it.
+Outcome outcomeOf(CloseReason reason, bool started) {
+  if (started)
+    return reason == CloseReason::timedOut ? Outcome::timedOut : Outcome::reset;
+  switch (reason) {
+    // The engine was not tried, so these say nothing about it.
     case CloseReason::outOfDescriptors:
     case CloseReason::replaced:
     case CloseReason::timedOut:
@@ -16,15 +16,15 @@
   }
 }
 
-Outcome outcomeOf(ResponseKind word) {
-  switch (word) {
+Outcome outcomeOf(ResponseKind kind) {
+  switch (kind) {
     case ResponseKind::answered:
     case ResponseKind::healthy:
       return Outcome::answered;
     case ResponseKind::overloaded:
       return Outcome::overloaded;
     case ResponseKind::expired:
-      return Outcome::notStarted;  // its time was up when it came: it never ran
+      return Outcome::notStarted;  // its time had run out when it arrived: it never ran
     default:
       return Outcome::error;
   }
--- a/src/serve/outcome.h
+++ b/src/serve/outcome.h
@@ -1,4 +1,4 @@
-// Every way in which a connection, or an exchange on it, can end.
+// Maps the end of a connection, or an engine's response, to the outcome of a send or probe that the module is given.
 #pragma once
 #include "policy.h"
 #include "protocol/engine_protocol.h"
@@ -6,9 +6,9 @@
 
 namespace elmcleat {
 
-// What the module is told of a send whose connection ended; `begun`: its first byte had gone out.
-Outcome outcomeOf(CloseReason ending, bool begun);
-// What it is told of a send, or a probe, that the engine answered.
-Outcome outcomeOf(ResponseKind word);
+// The outcome of a send whose connection ended; `started`: its first byte had been transmitted.
+Outcome outcomeOf(CloseReason reason, bool started);
+// The outcome of a send or probe to which the engine responded.
+Outcome outcomeOf(ResponseKind kind);
 
 }  // namespace elmcleat
--- a/src/serve/request_context.h
+++ b/src/serve/request_context.h
@@ -1,4 +1,5 @@
-// A command on its way through the program: what was asked, who asked, and the module's handle.
+// The context of a request on its way through the gateway: the parsed command, the responder that waits for the
+// response, and the module's handle. Client connection, dispatcher and engine share it.
 #pragma once
 #include <cmath>
 #include <cstdint>
@@ -12,42 +13,52 @@
 
 namespace elmcleat {
 
-struct CommandRequest {  // what a front door has read and checked
-  std::string id, profile, tenant;
-  std::vector<std::string> users;  // below the tenant, where budgets name the header that tells them
-  std::string token;               // of uniqued commands: engines know a repeat by it
-  std::string statement;           // as it came
+// A command as a client connection has parsed and validated it.
+struct CommandRequest {
+  std::string id;
+  std::string profile;
+  std::string tenant;
+  std::vector<std::string> users;  // below the tenant, if the budgets name a header for them
+  std::string token;               // of deduplicated commands: engines recognise a repeat by it
+  std::string statement;           // as received
   uint64_t tableGroup = 0;
   std::optional<uint64_t> orderingKey;
-  double estimatedWork = 0, estimatedMemoryMb = 0;  // estimates; 0: none
-  double clientDeadline = 0;  // when the client gives up, by what it told and when we read it
-  // A client counts from when it sent, and its answer has to get there: an attempt that is not over by then is given up,
-  // or the answer would find nobody. The protocol allows 50 ms for ways and clocks, and 10 ms are for our own turn; seen:
-  // clients that had gone up to 56 ms before the end that they had told.
+  double estimatedWork = 0;      // seconds; 0: no estimate
+  double estimatedMemoryMb = 0;  // 0: no estimate
+  double clientDeadline =
+      0;  // when the client gives up: the time that it stated, from when the request was read
+
+  // Seconds before clientDeadline by which an attempt is abandoned, because its response would come too late. The client
+  // counts from when it sent the request, and the response has to reach it: the protocol allows 50 ms for network and
+  // clocks, and 10 ms are for our own turn. Clients were seen to leave up to 56 ms before the deadline that they stated.
   static constexpr double kResponseMargin = 0.06;
   double responseDeadline() const { return clientDeadline - kResponseMargin; }
 };
 
-// Whoever asked: a connection of one of the protocols that clients speak.
+// Receives the response to a command: a connection of one of the client protocols.
 class Responder {
  public:
   virtual ~Responder() = default;
-  virtual void respond(Response response) = 0;  // called once at most, and never after a withdrawal
-  virtual void abandon() = 0;      // another connection has withdrawn the command: no answer comes
-  virtual bool isConnected() = 0;  // whether it still waits, as looked at this very moment
+  // Called at most once, and never after the command was withdrawn.
+  virtual void respond(Response response) = 0;
+  // Another connection has withdrawn the command: no response will follow.
+  virtual void abandon() = 0;
+  // Whether the client is still connected. Looks at the socket at the time of the call.
+  virtual bool isConnected() = 0;
 };
 
 struct RequestContext {
   CommandRequest request;
-  Responder* responder = nullptr;    // none once it is answered or withdrawn
-  std::shared_ptr<Command> command;  // none until the module has it
+  Responder* responder = nullptr;    // none once the command is answered or withdrawn
+  std::shared_ptr<Command> command;  // the module's handle; none until the module has the command
   std::optional<int> priority;
   int sends = 0;
-  double startDeadline = HUGE_VAL;  // the send that is out must not begin after this
+  double startDeadline = HUGE_VAL;  // the send in flight must not start after this
   bool sendInFlight = false;        // a send has no outcome yet
   bool finished = false;            // answered or withdrawn
-  // Whether somebody still waits for it. False from the moment in which its client is seen to have gone, before the
-  // module hears of that.
+
+  // Whether a client still waits for the response. False from the moment at which its disconnect is seen, which is
+  // before the module is informed.
   bool isAwaited() const { return responder != nullptr; }
 };
 
--- a/src/serve/request_parser.h
+++ b/src/serve/request_parser.h
@@ -1,4 +1,4 @@
-// What a client's request asks for, checked here so that nothing that the module can't take gets to it.
+// Parses and validates a client's command request, so that nothing reaches the module that it can't handle.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,14 +9,15 @@
 
 namespace elmcleat {
 
-// The command, or the status to answer and what is wrong. `came` is when the first byte of it did.
+// The command, or the HTTP status to respond with and the reason.
 struct ParsedRequest {
   std::optional<CommandRequest> request;
   int status = 0;
   std::string error;
 };
-// `actor`: the header that names users below the tenant, with / between them; empty: none.
-ParsedRequest parseCommandRequest(HttpRequest&& request, const Settings& settings, double came,
-                                  const std::string& actor = "");
+// `receivedAt`: when the request's first byte was read. `actorHeader`: the header that names users below the tenant,
+// separated by /; empty if there is none.
+ParsedRequest parseCommandRequest(HttpRequest&& request, const Settings& settings, double receivedAt,
+                                  const std::string& actorHeader = "");
 
 }  // namespace elmcleat
--- a/src/serve/response.cpp
+++ b/src/serve/response.cpp
@@ -8,7 +8,7 @@
 namespace elmcleat {
 
 bool ResultAssembler::addFirstPage(EngineResponse& response) {
-  // A page holds a byte at least, so a number beyond that of the bytes is no number of pages.
+  // Each page holds at least one byte, so a result can't have more pages than bytes.
   if (hasStarted() || static_cast<size_t>(response.pageCount) > kMaxResultBytes)
     return false;
   pages_.resize(static_cast<size_t>(response.pageCount));
@@ -20,12 +20,13 @@
   return storePage(static_cast<size_t>(response.pageNumber), response.body);
 }
 
-bool ResultAssembler::storePage(size_t number, std::string& page) {
+bool ResultAssembler::storePage(size_t number, std::string& body) {
   if (number >= pages_.size() || pages_[number])
     return false;
-  if ((bytes_ += page.size()) > kMaxResultBytes)
+  bytes_ += body.size();
+  if (bytes_ > kMaxResultBytes)
     return false;
-  pages_[number] = std::move(page);
+  pages_[number] = std::move(body);
   --missing_;
   return true;
 }
@@ -40,8 +41,8 @@
 }
 
 const char* nameOf(Response::Kind kind) {
-  static constexpr const char* names[] = {"served", "shed", "failed"};
-  return names[static_cast<int>(kind)];
+  static constexpr const char* kNames[] = {"served", "shed", "failed"};
+  return kNames[static_cast<int>(kind)];
 }
 
 std::string formatHttpResponse(const Response& response, bool keepAlive) {
