--- a/src/serve/client_connection.cpp
+++ b/src/serve/client_connection.cpp
@@ -88,7 +88,8 @@
   if (unprocessedInput_)
     return false;
   if (!closing_ && requestStarted()) {
-    stream_.write(formatHttpResponse({Response::Kind::shed, {}, 0}, false)), stream_.flush();
+    stream_.write(formatHttpResponse({Response::Kind::shed, {}, 0}, false));
+    stream_.flush();
   }
   stream_.close(CloseReason::idle);
   return true;
@@ -160,7 +161,8 @@
         break;
       }
       if (state == HttpRequestParser::State::expectsContinue) {
-        stream_.write("HTTP/1.1 100 Continue\r\n\r\n"), stream_.flush();
+        stream_.write("HTTP/1.1 100 Continue\r\n\r\n");
+        stream_.flush();
       }
       if (!stream_.isOpen())
         break;
--- a/src/serve/engine.cpp
+++ b/src/serve/engine.cpp
@@ -278,7 +278,8 @@
     timeout->set(scheduler_.now() + settings_.connectTimeout);
     connection.slot->markBusy();
     if (connection.connected) {
-      connection.stream.write(engine_request::probe(tag, settings_.loadReports)), connection.timer.clear();
+      connection.stream.write(engine_request::probe(tag, settings_.loadReports));
+      connection.timer.clear();
     }
   });
 }
