--- a/src/serve/client_connection.cpp
+++ b/src/serve/client_connection.cpp
@@ -185,10 +185,10 @@
     std::string bytes;
     if (state == HttpRequestParser::State::malformed) {
       keepAlive = false;
-      bytes = errorResponse(parser_.status(), "malformed or too large", false);
+      bytes = errorResponse(parser_.status(), "request malformed or too large", false);
     } else if (ended) {
       keepAlive = false;
-      bytes = errorResponse(408, "half a request, and then nothing more in time", false);
+      bytes = errorResponse(408, "request incomplete at the time limit", false);
     } else if (shed) {
       keepAlive = false;
       bytes = formatHttpResponse({Response::Kind::shed, {}, 0}, false);
@@ -211,7 +211,7 @@
           break;
         keepAlive &= !draining_ && !framingLost_;
         debug().with("command", context_->request.id)
-            << "client: answers " << context_->request.id << ": " << nameOf(response_->kind);
+            << "client: response to " << context_->request.id << ": " << nameOf(response_->kind);
         bytes = formatHttpResponse(*std::exchange(response_, {}), keepAlive);
         context_ = nullptr;
       }
@@ -256,7 +256,7 @@
   }
   if (context_) {
     debug().with("command", context_->request.id)
-        << "client: has gone without an answer to " << context_->request.id << ": "
+        << "client: connection ended without a response to " << context_->request.id << ": "
         << nameOf(stream_.closeReason());
     dispatcher_.withdraw(std::exchange(context_, nullptr));
   }
@@ -276,7 +276,7 @@
   if (request.path == "/check") {
     if (request.method == "GET")
       return formatHttpResponse(200, "{}", keepAlive);
-    return errorResponse(405, "/check by " + request.method, keepAlive);
+    return errorResponse(405, "method " + request.method + " on /check", keepAlive);
   }
   if (!request.path.starts_with("/do/"))
     return errorResponse(404, "unknown path", keepAlive);
@@ -284,10 +284,10 @@
     auto* id = request.header("req-id");
     if (dispatcher_.withdraw(id ? *id : request.path.substr(request.path.rfind('/') + 1)))
       return formatHttpResponse(200, "{}", keepAlive);
-    return errorResponse(404, "nothing in hand to withdraw", keepAlive);
+    return errorResponse(404, "no command with this id is in flight", keepAlive);
   }
   if (request.method != "POST")
-    return errorResponse(405, "/do by " + request.method, keepAlive);
+    return errorResponse(405, "method " + request.method + " on /do", keepAlive);
   ParsedRequest parsed =
       parseCommandRequest(std::move(request), settings_, requestStartedAt_, dispatcher_.actorHeader());
   if (!parsed.request)
@@ -297,12 +297,12 @@
   context_->responder = this;
   if (dispatcher_.submit(context_)) {
     debug().with("command", context_->request.id)
-        << "client: takes " << context_->request.id << ", " << context_->request.profile << ", which waits "
-        << context_->request.clientDeadline - scheduler_.now() << " s";
+        << "client: accepted " << context_->request.id << ", " << context_->request.profile
+        << ", client timeout in " << context_->request.clientDeadline - scheduler_.now() << " s";
     return std::nullopt;
   }
   context_ = nullptr;
-  return errorResponse(409, "a command with this id is in hand", keepAlive);
+  return errorResponse(409, "a command with this id is in flight", keepAlive);
 }
 
 }  // namespace elmcleat
--- a/src/serve/discovery.cpp
+++ b/src/serve/discovery.cpp
@@ -54,7 +54,7 @@
   mailbox_.post([this, changeLog] {
     if (changeLog == changeLog_)
       return;
-    info() << "change log: moves to " << formatAddress(changeLog);
+    info() << "change log: address changed to " << formatAddress(changeLog);
     changeLog_ = changeLog;
     addressChanged_ = true;
   });
@@ -133,7 +133,8 @@
       if (state == FrameParser::State::heartbeat || event.sequence <= lastSequence_)
         continue;
       if (event.sequence > lastSequence_ + 1 && lastSequence_ > 0)
-        warn() << "change log: event " << event.sequence << " follows " << lastSequence_;
+        warn() << "change log: event " << event.sequence << " follows " << lastSequence_
+               << ", events in between are missing";
       apply(event);
     }
   } while (stream.isOpen() && stream.inputLimited());
@@ -146,7 +147,7 @@
     return;
   if (!subset_) {
     info() << "change log: event " << event.sequence << ", " << (event.isFullList ? "whole list" : "changes")
-           << ", " << event.engines.size() << " engines named";
+           << ", " << event.engines.size() << " engines listed";
     return updateEngines(event.engines, event.isFullList);
   }
   applySubsetChanges(subset_->apply(event, scheduler_.clock().toUnix(scheduler_.now())),
--- a/src/serve/dispatcher.cpp
+++ b/src/serve/dispatcher.cpp
@@ -97,10 +97,10 @@
 // Budgets can change but not be added or removed: queued commands are in the order of the one queue or the other.
 void Dispatcher::updateBudgets(const std::optional<budget::BudgetSettings>& budgetSettings) {
   if (budgetSettings.has_value() != (budgets_ != nullptr)) {
-    warn() << "budgets: the old ones stay: they can't be switched on or off without a restart";
+    warn() << "budgets: unchanged: they can't be switched on or off without a restart";
   } else if (budgetSettings && budgets_->hasSharedQuotas() &&
              budget::fleetRates(*budgetSettings) != budget::fleetRates(budgets_->tree().settings())) {
-    warn() << "budgets: the old ones stay: rates that are shared change at a start alone";
+    warn() << "budgets: unchanged: shared rates can't be changed without a restart";
   } else if (budgetSettings) {
     mailbox_.post([this, budgetSettings = *budgetSettings] {
       budgets_->reconfigure(budgetSettings);
--- a/src/serve/engine.cpp
+++ b/src/serve/engine.cpp
@@ -369,7 +369,7 @@
   if (!any)
     return;
   warn().with("engine", name()) << name() << ": silent for " << scheduler_.now() - silentSince_ << " s, "
-                                << sendsInFlight_ << " sends out";
+                                << sendsInFlight_ << " sends in flight";
   signal_.raise();
 }
 
@@ -453,7 +453,7 @@
   if (unexpected || !connection.sends.empty())
     warn().with("engine", name()) << name() << " at " << formatAddress(address_)
                                   << ": connection ended: " << nameOf(reason) << ", "
-                                  << connection.sends.size() << " sends out";
+                                  << connection.sends.size() << " sends in flight";
   else
     debug().with("engine", name()) << name() << ": connection ended: " << nameOf(reason);
   while (!connection.sends.empty()) {
@@ -543,7 +543,7 @@
   const std::string id = send.context->request.id;
   double now = scheduler_.now();
   debug().with("engine", name()).with("command", std::string(id))
-      << name() << ": gives up " << id << " after " << now - send.startedAt << " s";
+      << name() << ": abandons " << id << " after " << now - send.startedAt << " s";
   if (silentSince_ <= send.startedAt)
     suspectConnections();
   signal_.raise();
--- a/src/serve/listener.cpp
+++ b/src/serve/listener.cpp
@@ -56,7 +56,7 @@
       acceptRetryTimer_(scheduler, [this] { signal_.raise(); }),
       drainTimer_(scheduler, [this] { close(); }),
       closeTimer_(scheduler, [this] {
-        info() << "all answered: ends";
+        info() << "drained: all requests are answered, exiting";
         scheduler_.stop();
       }) {}
 
@@ -69,7 +69,7 @@
 void Listener::drain() {
   if (std::exchange(draining_, true))
     return;
-  info() << "leaving: " << connections_.size() << " connections open";
+  info() << "draining: " << connections_.size() << " connections open";
   drainTimer_.set(scheduler_.now() + kAcceptWhileDrainingSeconds);
   double longestTimeout = 0;
   for (auto& profile : config_.settings.profiles)
@@ -127,7 +127,7 @@
     bool outOfResources = errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM;
     if (!outOfResources || evictIdle())
       continue;  // any other error concerns that one connection alone
-    warn() << "door: no descriptor for a connection: " << std::strerror(errno);
+    warn() << "listener: no descriptor for a connection: " << std::strerror(errno);
     acceptRetryTimer_.set(scheduler_.now() + kAcceptBackoffSeconds);
     return false;
   }
--- a/src/serve/request_parser.cpp
+++ b/src/serve/request_parser.cpp
@@ -73,7 +73,7 @@
     for (auto word : std::views::split(*users, '/'))
       if (command.users.emplace_back(word.begin(), word.end());
           !isWord(command.users.back()) || command.users.size() > kMaxUserLevels)
-        return refuse(400, "the actor's header must be a few words with / between them");
+        return refuse(400, "the actor header must be 1 to 8 words separated by /");
   }
   if (auto* work = request.header("req-cost")) {
     if (!readAmount(*work, kMaxWorkMs, command.estimatedWork))
