--- a/src/main.cpp
+++ b/src/main.cpp
@@ -54,10 +54,10 @@
   try {
     Config config = readConfig();
     Log::setLevel(options.logLevel.value_or(config.logLevel));
-    info() << "configuration: read again";
+    info() << "configuration: reloaded";
     discovery.follow(config.changeLogAddress);
   } catch (const std::exception& error) {
-    warn() << "configuration: the old one stays: " << error.what();
+    warn() << "configuration: unchanged: " << error.what();
   }
   if (options.gatewayFile.empty())
     return;
@@ -65,11 +65,11 @@
     GatewayConfig gatewayConfig = loadGatewayConfig(options);
     dispatcher.updateBudgets(gatewayConfig.budgets);
     if (gatewayConfig.members.has_value() != startConfig.members.has_value())
-      warn() << "members: as they were: they are switched at a start alone";
+      warn() << "members: unchanged: they can't be switched on or off without a restart";
     if (gatewayConfig.subset != startConfig.subset)
-      warn() << "view: as it was: it changes at a start alone";
+      warn() << "view: unchanged: it can't be changed without a restart";
   } catch (const std::exception& error) {
-    warn() << "gateway: the old one stays: " << error.what();
+    warn() << "gateway: unchanged: " << error.what();
   }
 }
 
@@ -169,7 +169,7 @@
 
   // Stop
   if (control && !control->stop()) {
-    warn() << "members: the control thread hangs; ends without it";
+    warn() << "members: the control thread does not stop; exiting without it";
     std::_Exit(EXIT_SUCCESS);
   }
 }
@@ -195,7 +195,7 @@
   for (auto& error : errors)
     std::cout << error << '\n';
   if (errors.empty())
-    std::cout << paths.size() << (paths.size() == 1 ? " file is" : " files are") << " sound\n";
+    std::cout << paths.size() << (paths.size() == 1 ? " file is" : " files are") << " valid\n";
   return errors.empty() ? 0 : 1;
 }
 
@@ -204,21 +204,19 @@
   Options options;
   app.set_version_flag("--version", "elmcleat " ELMCLEAT_VERSION);
   app.add_option("--gateway", options.gatewayFile,
-                 "what is ours: budgets and more (see schemas/gateway.schema.json)")
+                 "gateway file: budgets, members, view, shared (see schemas/gateway.schema.json)")
       ->type_name("FILE");
-  app.add_option("--log-level", options.logLevel,
-                 "the least level that is logged; wins over the configuration")
+  app.add_option("--log-level", options.logLevel, "minimum level that is logged; overrides the configuration")
       ->transform(CLI::CheckedTransformer(std::map<std::string, LogLevel>{{"debug", LogLevel::debug},
                                                                           {"info", LogLevel::info},
                                                                           {"warn", LogLevel::warn},
                                                                           {"error", LogLevel::error}}));
-  app.add_option("--log-format", options.logFormat, "text, or an object of JSON a line")
+  app.add_option("--log-format", options.logFormat, "text, or one JSON object a line")
       ->transform(CLI::CheckedTransformer(
           std::map<std::string, LogFormat>{{"text", LogFormat::text}, {"json", LogFormat::json}}));
   app.add_subcommand("serve", "serve, with the configuration that PROXY_CONFIG names (the default)");
-  auto* checkCommand =
-      app.add_subcommand("check", "look for faults in files, and end: status 1 if there are any");
-  checkCommand->add_option("FILE", options.checkFiles, "a configuration, or a gateway file")->required();
+  auto* checkCommand = app.add_subcommand("check", "validate files and exit; status 1 if there are errors");
+  checkCommand->add_option("FILE", options.checkFiles, "platform configuration or gateway file")->required();
   app.require_subcommand(0, 1);
   CLI11_PARSE(app, argumentCount, arguments);
   if (checkCommand->parsed())
--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -14,12 +14,12 @@
   fi
 }
 expect "a version" 0 '^elmcleat [0-9]+\.[0-9]+' "$program" --version
-expect "help names check" 0 'check +look for faults' "$program" --help
+expect "help names check" 0 'check +validate files' "$program" --help
 expect "an unknown option" 109 'not expected|--gatway' "$program" --gatway x
 expect "a level that is none" 105 'log-level' "$program" --log-level loud
 expect "no configuration" 1 '^elmcleat: PROXY_CONFIG: is not set' env -u PROXY_CONFIG "$program"
 expect "serve by name is the same" 1 'PROXY_CONFIG: is not set' env -u PROXY_CONFIG "$program" serve
-for file in "$here"/deploy/*.json; do expect "$file is sound" 0 '^1 file is sound' "$program" check "$file"; done
+for file in "$here"/deploy/*.json; do expect "$file is valid" 0 '^1 file is valid' "$program" check "$file"; done
 expect "a file that is not there" 1 'nowhere.json: can.t be read' "$program" check "$folder/nowhere.json"
 
 cat >"$folder/bad.json" <<'JSON'
--- a/tests/fleet/view_test.cpp
+++ b/tests/fleet/view_test.cpp
@@ -266,17 +266,17 @@
   Fleet fleet(8, {0}, 96, planOf());
   auto& service = *fleet.services[0];
   service.kill(SIGHUP);
-  CHECK(service.logs("configuration: read again"));
+  CHECK(service.logs("configuration: reloaded"));
   service.ready();  // so all of that signal's work is done
-  CHECK_EQ(countOf(service.log(), "view: as it was"), 0);
+  CHECK_EQ(countOf(service.log(), "view: unchanged"), 0);
   view["view"]["users"] = 5;
   service.own(view.dump()), service.kill(SIGHUP);
-  CHECK(service.logs("view: as it was"));
+  CHECK(service.logs("view: unchanged"));
   fleet.load();
   CHECK(Fleet::soon([&] { return fleet.sends().size() > 500; }));
   fleet.answered();
   CHECK_EQ(fleet.farthest(), 2);
-  CHECK_EQ(countOf(service.log(), "view: as it was"), 1);
+  CHECK_EQ(countOf(service.log(), "view: unchanged"), 1);
 }
 
 TEST_CASE(
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -225,7 +225,7 @@
   other->write(post(4, "quick", 6000, "X-User: shut\r\n"));
   service.own("{\"budgets\": {\"nodes\": [{\"name\": \"a\", \"weight\": -1}]}}");
   service.kill(SIGHUP);
-  CHECK(service.logs("the old one stays: "));
+  CHECK(service.logs("gateway: unchanged: "));
   CHECK(service.logs("nodes[0].weight: found -1"));
   CHECK_EQ(engines.next(100).verb, "");
   service.own(R"({"budgets": {"actor": "X-User", "nodes": [{"name": "acme"}]}})");
@@ -250,7 +250,7 @@
   stage.service.configure("{\"listen\":");
   stage.service.kill(SIGHUP);
   log->write(change(3, 3, 2, stage.engines.address(0)));
-  CHECK(stage.service.logs("configuration: the old one stays: PROXY_CONFIG"));
+  CHECK(stage.service.logs("configuration: unchanged: PROXY_CONFIG"));
   Listener other;
   stage.service.config["changelog"] = textOf(other.address);
   stage.service.configure(stage.service.config.dump());
