--- a/src/runtime/clock.h
+++ b/src/runtime/clock.h
@@ -1,4 +1,4 @@
-// Time as the program sees it: seconds since its start.
+// The process's clock: monotonic seconds since its creation, with conversion to and from Unix time.
 #pragma once
 #include <chrono>
 #include <cstdint>
@@ -8,14 +8,15 @@
 class Clock {
  public:
   double now() const { return seconds(std::chrono::steady_clock::now() - start_); }
-  // A Unix time in milliseconds, on this clock; times before the start are negative.
+  // Converts a Unix time in milliseconds to this clock; times before its start are negative.
   double fromUnix(int64_t ms) const { return static_cast<double>(ms) / 1e3 - startUnix_; }
-  double toUnix(double at) const { return at + startUnix_; }  // and back, in seconds
+  // Converts a time of this clock to Unix time in seconds.
+  double toUnix(double time) const { return time + startUnix_; }
 
  private:
-  template <typename Span>
-  static double seconds(Span span) {
-    return std::chrono::duration<double>(span).count();
+  template <typename Duration>
+  static double seconds(Duration duration) {
+    return std::chrono::duration<double>(duration).count();
   }
   std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
   double startUnix_ = seconds(std::chrono::system_clock::now().time_since_epoch());
--- a/src/runtime/close_reason.h
+++ b/src/runtime/close_reason.h
@@ -1,29 +1,31 @@
-// Every way in which a connection, or an exchange on it, can end: one value of this type.
+// Why a connection, or a single exchange on it, ended.
 #pragma once
 
 namespace elmcleat {
 
 enum class CloseReason {
-  none,              // it has not ended
-  refused,           // nobody listens there, or there is no way there
-  connectTimedOut,   // it did not come up in time
-  outOfDescriptors,  // we are out of descriptors
-  closed,            // closed by the other side
-  reset,             // broken by the other side or by the network
-  malformed,         // what came can't be read
-  bufferFull,        // more came, or waits to go out, than a buffer may hold
-  idle,              // closed by us with nothing open on it
-  unresponsive,      // closed by us: nothing came for too long
-  incomplete,        // closed by us: a part of a message came, and the rest did not
-  replaced,          // closed by us: who is there drains, is gone, or has been replaced by another
-  timedOut,          // the exchange alone: its time is up
+  none,              // still open
+  refused,           // nothing listens at the address, or there is no route to it
+  connectTimedOut,   // not established within the connect timeout
+  outOfDescriptors,  // this process has no descriptor or memory left for it
+  closed,            // closed by the peer
+  reset,             // reset by the peer or broken by the network
+  malformed,         // the peer sent something that can't be parsed
+  bufferFull,        // the input or the output exceeded the bound of its buffer
+  idle,              // closed by us with no exchange open on it
+  unresponsive,      // closed by us: nothing was received for too long
+  incomplete,        // closed by us: a message was received in part, and its rest did not follow
+  replaced,          // closed by us: the peer drains, was removed, or was replaced by another
+  timedOut,          // of an exchange only: its time limit expired
 };
-constexpr const char* nameOf(CloseReason ending) {
+
+// The name as written to the log.
+constexpr const char* nameOf(CloseReason reason) {
   constexpr const char* names[] = {"none",     "refused", "connect timed out", "out of descriptors",
                                    "closed",   "reset",   "garbled",           "overfull",
                                    "idle",     "silent",  "cut short",         "replaced",
                                    "timed out"};
-  return names[static_cast<int>(ending)];
+  return names[static_cast<int>(reason)];
 }
 
 }  // namespace elmcleat
--- a/src/runtime/latest_value.h
+++ b/src/runtime/latest_value.h
@@ -1,6 +1,6 @@
-// The latest of what one thread makes for another: an immutable value, handed over by one atomic exchange. Neither
-// side ever waits for the other, allocates or frees on the reader's part: three places, of which the writer has one,
-// the reader one, and one lies between them.
+// Passes the latest value from one thread to another, by triple buffering: the writer owns one slot, the
+// reader owns one, and the third is exchanged between them atomically. Values are immutable. Neither side
+// ever waits for the other, and the reader neither allocates nor frees memory.
 #pragma once
 #include <array>
 #include <atomic>
@@ -11,23 +11,26 @@
 template <typename T>
 class LatestValue {
  public:
-  // The writer's thread alone. What lay in its place, two values ago or more, is freed here.
+  // For the writer's thread only. Frees the value that the slot held before, which was published at least two
+  // values ago.
   void publish(std::unique_ptr<const T> value) {
-    places_[back_] = std::move(value);
-    back_ = between_.exchange(back_ | kNews, std::memory_order_acq_rel) & kPlace;
+    slots_[writerSlot_] = std::move(value);
+    writerSlot_ = exchanged_.exchange(writerSlot_ | kUnread, std::memory_order_acq_rel) & kSlotMask;
   }
-  // The reader's thread alone: the last value put, or null. It stays until the next read().
+  // For the reader's thread only: the last value published, or null. Valid until the next read().
   const T* read() {
-    if (between_.load(std::memory_order_relaxed) & kNews)
-      front_ = between_.exchange(front_, std::memory_order_acq_rel) & kPlace;
-    return places_[front_].get();
+    if (exchanged_.load(std::memory_order_relaxed) & kUnread)
+      readerSlot_ = exchanged_.exchange(readerSlot_, std::memory_order_acq_rel) & kSlotMask;
+    return slots_[readerSlot_].get();
   }
 
  private:
-  static constexpr unsigned kNews = 4, kPlace = 3;
-  std::array<std::unique_ptr<const T>, 3> places_;
-  std::atomic<unsigned> between_{1};
-  unsigned back_ = 0, front_ = 2;
+  static constexpr unsigned kUnread = 4;    // the exchanged slot holds a value that has not been read
+  static constexpr unsigned kSlotMask = 3;  // the bits that hold the slot's index
+  std::array<std::unique_ptr<const T>, 3> slots_;
+  std::atomic<unsigned> exchanged_{1};
+  unsigned writerSlot_ = 0;
+  unsigned readerSlot_ = 2;
 };
 
 }  // namespace elmcleat
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -9,14 +9,21 @@
 #include <system_error>
 
 namespace elmcleat {
+namespace {
+
+constexpr int kMaxEvents = 512;  // of one epoll_wait()
+
+}  // namespace
 
 // --- signals
 Signal::~Signal() { forget(); }
 
 void Signal::forget() {
   waiter_ = nullptr;
-  if (std::exchange(queued_, false))
-    scheduler_.ready_.remove(this), scheduler_.afterOthers_.remove(this);
+  if (std::exchange(queued_, false)) {
+    scheduler_.ready_.remove(this);
+    scheduler_.afterOthers_.remove(this);
+  }
 }
 
 void Signal::raise() {
@@ -29,22 +36,22 @@
 
 void Signal::Wait::await_suspend(std::coroutine_handle<> waiter) {
   signal_.waiter_ = waiter_ = waiter;
-  if (!others_)
+  if (!afterOthers_)
     return;
   signal_.queued_ = true;
   signal_.scheduler_.afterOthers_.push_back(&signal_);
 }
 
 // --- timers
-void Timer::set(double at) {
+void Timer::set(double time) {
   clear();
-  place_ = scheduler_.timers_.emplace(at, this);
+  entry_ = scheduler_.timers_.emplace(time, this);
   set_ = true;
 }
 
 void Timer::clear() {
   if (std::exchange(set_, false))
-    scheduler_.timers_.erase(place_);
+    scheduler_.timers_.erase(entry_);
 }
 
 // --- descriptors
@@ -54,9 +61,9 @@
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.ptr = this;
   if (::epoll_ctl(scheduler_.epoll_, EPOLL_CTL_ADD, fd_, &event) < 0) {
-    int fault = errno;
+    int error = errno;
     ::close(fd_);
-    throw std::system_error(fault, std::generic_category(), "epoll_ctl");
+    throw std::system_error(error, std::generic_category(), "epoll_ctl");
   }
 }
 
@@ -67,7 +74,7 @@
   fd_ = -1;
 }
 
-// --- the loop
+// --- the event loop
 Scheduler::Scheduler(const Clock& clock) : clock_(clock), epoll_(::epoll_create1(EPOLL_CLOEXEC)) {
   if (epoll_ < 0)
     throw std::system_error(errno, std::generic_category(), "epoll_create1");
@@ -75,7 +82,8 @@
 
 Scheduler::~Scheduler() { ::close(epoll_); }
 
-// In the order raised: what arrived first is read first, so commands of one key keep their order.
+// Resumes coroutines in the order in which their signals were raised. Input that arrived first is therefore
+// read first, so commands with the same key keep their order.
 void Scheduler::resumeReady() {
   while (!ready_.empty()) {
     Signal* signal = ready_.front();
@@ -89,45 +97,46 @@
   while (!timers_.empty() && timers_.begin()->first <= until) {
     Timer* timer = timers_.begin()->second;
     timer->clear();
-    auto act = timer->act_;  // the call may destroy the timer
-    act();
+    auto callback = timer->callback_;  // a copy: the call may destroy the timer
+    callback();
   }
 }
 
-// Waits for the next event or timer, and wakes those concerned in the order in which their events came.
+// Waits for the next event or timer, if it may wait and nothing is ready, and raises the signals of the
+// descriptors concerned in the order of their events.
 void Scheduler::poll(bool mayWait) {
-  int wait = -1;
+  int timeoutMs = -1;
   if (!ready_.empty() || !mayWait)
-    wait = 0;
+    timeoutMs = 0;
   else if (!timers_.empty()) {
-    double left = timers_.begin()->first - now();
-    wait = static_cast<int>(std::clamp(std::ceil(left * 1e3), 0.0, 1e6));
+    double timeLeft = timers_.begin()->first - now();
+    timeoutMs = static_cast<int>(std::clamp(std::ceil(timeLeft * 1e3), 0.0, 1e6));
   }
-  epoll_event events[512];
-  int count = ::epoll_wait(epoll_, events, 512, wait);
+  epoll_event events[kMaxEvents];
+  int count = ::epoll_wait(epoll_, events, kMaxEvents, timeoutMs);
   if (count < 0 && errno != EINTR)
     throw std::system_error(errno, std::generic_category(), "epoll_wait");
   for (int i = 0; i < count; ++i) {
     auto& descriptor = *static_cast<Descriptor*>(events[i].data.ptr);
-    descriptor.news_ |= (events[i].events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
+    descriptor.mayBeReadable_ |= (events[i].events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
     descriptor.hungUp_ |= (events[i].events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0;
-    descriptor.signal_.raise();  // resumes nothing yet: no descriptor closes here
+    descriptor.signal_.raise();  // only queues its coroutine, so no descriptor is closed during this loop
   }
 }
 
 void Scheduler::run() {
   for (stopped_ = false; !stopped_;) {
-    double asked = now();
+    double pollStart = now();
     auto deferred = std::exchange(afterOthers_, {});
     poll(deferred.empty());
-    // Only what was due before we looked at the sockets: all that came in time has been read by then,
-    // also when we were stopped for a while.
+    // Only timers that were due before the sockets were polled are fired: all input that arrived in time has
+    // been read by then, even if the process was suspended for a while.
     ready_.splice(ready_.end(), deferred);
     resumeReady();
     if (!stopped_)
-      fireTimers(asked);
+      fireTimers(pollStart);
     resumeReady();
-    buried_.clear();
+    pendingDestruction_.clear();
   }
 }
 
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -1,8 +1,9 @@
-// The scheduler: one thread, one epoll, timers and coroutines that wait for signals.
+// A single-threaded event loop: edge-triggered epoll, a ready queue, timers, and coroutines that await
+// signals.
 //
-// Who owns a Task owns its coroutine: destroying the Task ends the coroutine where it waits, and all that it
-// waits for is forgotten, since Signal, Timer and Descriptor leave the scheduler in their destructors. A
-// coroutine never destroys itself: its owner hands it to Scheduler::destroyLater(), which lets go of it later.
+// A Task owns its coroutine: destroying the Task destroys the coroutine at the point where it is suspended.
+// Its waits are removed too, since Signal, Timer and Descriptor unregister from the scheduler in their
+// destructors. A coroutine never destroys itself: its owner passes it to Scheduler::destroyLater().
 #pragma once
 #include <coroutine>
 #include <cstdint>
@@ -21,7 +22,7 @@
 
 class Scheduler;
 
-// A coroutine that starts when told to and is owned by this object.
+// A coroutine that is owned by this object and starts at start().
 class Task {
  public:
   struct promise_type {
@@ -29,7 +30,9 @@
     std::suspend_always initial_suspend() noexcept { return {}; }
     std::suspend_always final_suspend() noexcept { return {}; }
     void return_void() {}
-    void unhandled_exception() { std::terminate(); }  // each actor catches what its input may cause
+    void unhandled_exception() {
+      std::terminate();
+    }  // actors catch the exceptions that their input may cause
   };
 
   Task() = default;
@@ -50,8 +53,8 @@
   std::coroutine_handle<promise_type> handle_;
 };
 
-// What an actor waits for: raised by its mailbox, its sockets and its timers. A signal raised while nobody
-// waits is kept, so that no news is lost between two waits.
+// An awaitable event for one waiting coroutine, an actor: raised by its mailbox, its sockets and its timers.
+// A signal raised while no coroutine waits is kept, so that no event is lost between two waits.
 class Signal {
  public:
   explicit Signal(Scheduler& scheduler) : scheduler_(scheduler) {}
@@ -59,85 +62,94 @@
   Signal& operator=(const Signal&) = delete;
   ~Signal();
 
+  // Marks the signal as raised and queues its waiting coroutine, if any, to be resumed.
   void raise();
 
-  // A wait lives in the coroutine that waits; should that be destroyed, nobody waits any more.
+  // The awaitable. It is part of the waiting coroutine's frame, so destroying the coroutine ends the wait.
   class Wait {
    public:
-    Wait(Signal& signal, bool others) : signal_(signal), others_(others) {}
+    Wait(Signal& signal, bool afterOthers) : signal_(signal), afterOthers_(afterOthers) {}
     Wait(const Wait&) = delete;
     Wait& operator=(const Wait&) = delete;
     ~Wait() {
       if (waiter_ && signal_.waiter_ == waiter_)
         signal_.forget();
     }
-    bool await_ready() { return !others_ && std::exchange(signal_.raised_, false); }
+    bool await_ready() { return !afterOthers_ && std::exchange(signal_.raised_, false); }
     void await_suspend(std::coroutine_handle<> waiter);
     void await_resume() {
-      if (!others_)
+      if (!afterOthers_)
         signal_.raised_ = false;
     }
 
    private:
     Signal& signal_;
-    bool others_;
+    bool afterOthers_;
     std::coroutine_handle<> waiter_;
   };
   Wait operator co_await() { return {*this, false}; }
-  // Waits until all that is ready by now, here or in the system, has had its turn; news that comes meanwhile
-  // is kept.
+  // Yields: waits until every coroutine that is ready by now, here or by an event pending in the kernel, has
+  // run. A signal raised meanwhile is kept.
   Wait afterOthers() { return {*this, true}; }
 
  private:
   friend class Scheduler;
+  // Drops the waiting coroutine and leaves the ready queue.
   void forget();
 
   Scheduler& scheduler_;
   std::coroutine_handle<> waiter_;
-  bool raised_ = false, queued_ = false;
+  bool raised_ = false;
+  bool queued_ = false;  // in one of the scheduler's queues
 };
 
-// Calls a function once, at a time that may be moved or cleared.
+// A one-shot timer. set() replaces an earlier time; the callback may destroy the timer.
 class Timer {
  public:
-  Timer(Scheduler& scheduler, std::function<void()> act) : scheduler_(scheduler), act_(std::move(act)) {}
+  Timer(Scheduler& scheduler, std::function<void()> callback)
+      : scheduler_(scheduler), callback_(std::move(callback)) {}
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
   ~Timer() { clear(); }
-  void set(double at);
+  void set(double time);  // on the scheduler's clock
   void clear();
   bool isSet() const { return set_; }
 
  private:
   friend class Scheduler;
   Scheduler& scheduler_;
-  std::function<void()> act_;
-  std::multimap<double, Timer*>::iterator place_;
+  std::function<void()> callback_;
+  std::multimap<double, Timer*>::iterator entry_;  // valid while set_
   bool set_ = false;
 };
 
-// An open descriptor, watched edge by edge: its signal is raised whenever it may have become ready.
+// An open file descriptor, which it owns, registered with edge-triggered epoll: its signal is raised whenever
+// the descriptor may have become readable or writable.
 class Descriptor {
  public:
+  // Closes `fd` and throws std::system_error if it can't be registered.
   Descriptor(Scheduler& scheduler, int fd, Signal& signal);
   Descriptor(const Descriptor&) = delete;
   Descriptor& operator=(const Descriptor&) = delete;
   ~Descriptor() { close(); }
   int fd() const { return fd_; }
   void close();
-  // Whether there may be something to read: set by the system's news, cleared by whoever has read it all.
-  bool mayBeReadable() const { return news_; }
-  bool hungUp() const { return hungUp_; }  // the other side has closed: there is an end to be read
-  void clearReadable() { news_ = hungUp_; }
+  // Whether there may be input: set by an epoll event, cleared by the reader once it has read everything.
+  bool mayBeReadable() const { return mayBeReadable_; }
+  bool hungUp() const { return hungUp_; }  // the peer has closed: there is an end of file or an error to read
+  // Once the peer has closed, the descriptor stays readable, as no further event will report its end of file.
+  void clearReadable() { mayBeReadable_ = hungUp_; }
 
  private:
   friend class Scheduler;
   Scheduler& scheduler_;
   int fd_;
   Signal& signal_;
-  bool news_ = true, hungUp_ = false;
+  bool mayBeReadable_ = true;
+  bool hungUp_ = false;
 };
 
+// The event loop. All its objects are used on its thread only.
 class Scheduler {
  public:
   explicit Scheduler(const Clock& clock);
@@ -149,8 +161,9 @@
   const Clock& clock() const { return clock_; }
   void run();  // until stop()
   void stop() { stopped_ = true; }
-  // Keeps what is over until no coroutine of it can be running.
-  void destroyLater(std::shared_ptr<void> over) { buried_.push_back(std::move(over)); }
+  // Keeps the object until the end of the current iteration of the loop, when none of its coroutines is
+  // running.
+  void destroyLater(std::shared_ptr<void> object) { pendingDestruction_.push_back(std::move(object)); }
 
  private:
   friend class Signal;
@@ -163,9 +176,10 @@
   const Clock& clock_;
   int epoll_;
   bool stopped_ = false;
-  std::list<Signal*> ready_, afterOthers_;
+  std::list<Signal*> ready_;        // to be resumed, in the order raised
+  std::list<Signal*> afterOthers_;  // to be resumed after all that was ready before
   std::multimap<double, Timer*> timers_;
-  std::vector<std::shared_ptr<void>> buried_;
+  std::vector<std::shared_ptr<void>> pendingDestruction_;
 };
 
 }  // namespace elmcleat
--- a/src/runtime/stream.cpp
+++ b/src/runtime/stream.cpp
@@ -13,8 +13,8 @@
 namespace elmcleat {
 namespace {
 
-CloseReason reasonOf(int fault) {
-  switch (fault) {
+CloseReason reasonOf(int error) {
+  switch (error) {
     case ECONNREFUSED:
     case EHOSTUNREACH:
     case ENETUNREACH:
@@ -32,7 +32,8 @@
   }
 }
 
-constexpr size_t kChunk = 16 * 1024;  // read at once
+constexpr size_t kReadBytes = 16 * 1024;  // most bytes of one recv()
+constexpr int kMaxParts = 16;             // most writes sent by one sendmsg()
 
 }  // namespace
 
@@ -49,12 +50,13 @@
   if (fd < 0)
     throw std::system_error(errno, std::generic_category(), "socket");
   int on = 1;
-  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);  // restarts come under the same address
+  // Lets a restarted process listen on the same address.
+  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   sockaddr_in native = toSockaddr(address);
   if (::bind(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) < 0 || ::listen(fd, SOMAXCONN) < 0) {
-    int fault = errno;
+    int error = errno;
     ::close(fd);
-    throw std::system_error(fault, std::generic_category(), "listening on " + formatAddress(address));
+    throw std::system_error(error, std::generic_category(), "listening on " + formatAddress(address));
   }
   return fd;
 }
@@ -70,7 +72,7 @@
 }
 
 void Stream::adopt(int fd) {
-  up_ = true;
+  connected_ = true;
   adoptDescriptor(fd);
 }
 
@@ -86,42 +88,43 @@
     return close(reasonOf(errno));
   sockaddr_in native = toSockaddr(address);
   if (::connect(fd, reinterpret_cast<sockaddr*>(&native), sizeof native) == 0)
-    up_ = true;
+    connected_ = true;
   else if (errno != EINPROGRESS)
     close(reasonOf(errno) == CloseReason::reset ? CloseReason::refused : reasonOf(errno));
 }
 
 bool Stream::isConnected() {
-  if (up_ || !socket_)
-    return up_;
+  if (connected_ || !socket_)
+    return connected_;
   sockaddr_in peer;
   socklen_t size = sizeof peer;
   if (::getpeername(socket_->fd(), reinterpret_cast<sockaddr*>(&peer), &size) == 0)
-    return up_ = true;
-  int fault = 0;
-  size = sizeof fault;
-  ::getsockopt(socket_->fd(), SOL_SOCKET, SO_ERROR, &fault, &size);
-  // Whatever broke it, it never came up.
-  if (fault != 0)
-    close(reasonOf(fault) == CloseReason::reset ? CloseReason::refused : reasonOf(fault));
+    return connected_ = true;
+  int error = 0;
+  size = sizeof error;
+  ::getsockopt(socket_->fd(), SOL_SOCKET, SO_ERROR, &error, &size);
+  // Whatever the error, the connection was never established: a reset counts as refused.
+  if (error != 0)
+    close(reasonOf(error) == CloseReason::reset ? CloseReason::refused : reasonOf(error));
   return false;
 }
 
-bool Stream::receive(bool look) {
-  static thread_local char chunk[kChunk];  // a buffer of the stream's own would be cleared at each read
-  cutShort_ = false;
-  for (; socket_ && (look || socket_->mayBeReadable()); look = false) {
-    if (in_.size() >= mostIn_) {  // whoever reads makes room, or ends it
-      cutShort_ = true;
+bool Stream::receive(bool force) {
+  // Shared by all streams of the thread: growing a stream's own buffer before each read would zero-fill it.
+  static thread_local char buffer[kReadBytes];
+  inputLimited_ = false;
+  for (; socket_ && (force || socket_->mayBeReadable()); force = false) {
+    if (input_.size() >= maxInputBytes_) {  // the caller makes room in input(), or closes the connection
+      inputLimited_ = true;
       break;
     }
-    size_t room = std::min(kChunk, mostIn_ - in_.size());
-    ssize_t got = ::recv(socket_->fd(), chunk, room, 0);
-    if (got > 0) {
-      in_.append(chunk, static_cast<size_t>(got));
-      if (static_cast<size_t>(got) < room)
-        socket_->clearReadable();  // but for an end, if one has been announced
-    } else if (got == 0) {
+    size_t room = std::min(kReadBytes, maxInputBytes_ - input_.size());
+    ssize_t received = ::recv(socket_->fd(), buffer, room, 0);
+    if (received > 0) {
+      input_.append(buffer, static_cast<size_t>(received));
+      if (static_cast<size_t>(received) < room)
+        socket_->clearReadable();  // keeps it readable if the peer has closed
+    } else if (received == 0) {
       close(CloseReason::closed);
     } else if (errno == EAGAIN) {
       socket_->clearReadable();
@@ -134,49 +137,52 @@
 }
 
 uint64_t Stream::write(std::string bytes) {
-  uint64_t place = next_++;
-  outBytes_ += bytes.size();
-  out_.push_back({place, std::move(bytes)});
-  if (outBytes_ > mostOut_)
+  uint64_t id = nextWriteId_++;
+  outputBytes_ += bytes.size();
+  output_.push_back({id, std::move(bytes)});
+  if (outputBytes_ > maxOutputBytes_)
     close(CloseReason::bufferFull);
-  return place;
+  return id;
 }
 
-bool Stream::withdraw(uint64_t place) {
-  auto chunk = std::ranges::find(out_, place, &Chunk::place);
-  if (chunk == out_.end() || hasStarted(place))
+bool Stream::withdraw(uint64_t writeId) {
+  auto write = std::ranges::find(output_, writeId, &PendingWrite::id);
+  if (write == output_.end() || hasStarted(writeId))
     return false;
-  outBytes_ -= chunk->bytes.size();
-  out_.erase(chunk);
+  outputBytes_ -= write->bytes.size();
+  output_.erase(write);
   return true;
 }
 
 void Stream::flush() {
-  while (socket_ && up_ && !out_.empty()) {
-    iovec parts[16];
+  while (socket_ && connected_ && !output_.empty()) {
+    iovec parts[kMaxParts];
     int count = 0;
-    size_t skip = headSent_;
-    for (auto chunk = out_.begin(); chunk != out_.end() && count < 16; ++chunk, skip = 0)
-      parts[count++] = {chunk->bytes.data() + skip, chunk->bytes.size() - skip};
+    size_t skip = frontSentBytes_;
+    for (auto write = output_.begin(); write != output_.end() && count < kMaxParts; ++write, skip = 0)
+      parts[count++] = {write->bytes.data() + skip, write->bytes.size() - skip};
     msghdr message{};
-    message.msg_iov = parts, message.msg_iovlen = static_cast<size_t>(count);
-    ssize_t done = ::sendmsg(socket_->fd(), &message, MSG_NOSIGNAL);
-    if (done < 0) {
+    message.msg_iov = parts;
+    message.msg_iovlen = static_cast<size_t>(count);
+    ssize_t sent = ::sendmsg(socket_->fd(), &message, MSG_NOSIGNAL);
+    if (sent < 0) {
       if (errno == EINTR)
         continue;
       if (errno != EAGAIN)
         close(reasonOf(errno));
       return;
     }
-    for (auto left = static_cast<size_t>(done); left > 0;) {
-      Chunk& head = out_.front();
-      sent_ = head.place + 1;
-      size_t part = std::min(left, head.bytes.size() - headSent_);
-      left -= part, headSent_ += part, outBytes_ -= part;
-      if (headSent_ < head.bytes.size())
+    for (auto remaining = static_cast<size_t>(sent); remaining > 0;) {
+      PendingWrite& front = output_.front();
+      firstUnstarted_ = front.id + 1;
+      size_t part = std::min(remaining, front.bytes.size() - frontSentBytes_);
+      remaining -= part;
+      frontSentBytes_ += part;
+      outputBytes_ -= part;
+      if (frontSentBytes_ < front.bytes.size())
         break;
-      headSent_ = 0;
-      out_.pop_front();
+      frontSentBytes_ = 0;
+      output_.pop_front();
     }
   }
 }
@@ -186,9 +192,9 @@
     ::shutdown(socket_->fd(), SHUT_WR);
 }
 
-void Stream::close(CloseReason ending) {
+void Stream::close(CloseReason reason) {
   if (reason_ == CloseReason::none)
-    reason_ = ending;
+    reason_ = reason;
   socket_.reset();
 }
 
--- a/src/runtime/stream.h
+++ b/src/runtime/stream.h
@@ -1,4 +1,4 @@
-// A TCP connection: bytes in and out through bounded buffers, and how it ended.
+// A non-blocking TCP connection with bounded input and output buffers, and the reason why it closed.
 #pragma once
 #include <netinet/in.h>
 
@@ -16,55 +16,71 @@
 
 class Stream {
  public:
-  Stream(Scheduler& scheduler, Signal& signal, size_t mostIn, size_t mostOut)
-      : scheduler_(scheduler), signal_(signal), mostIn_(mostIn), mostOut_(mostOut) {}
+  // `signal` is raised when the connection may have become readable or writable. The bounds are in bytes.
+  Stream(Scheduler& scheduler, Signal& signal, size_t maxInputBytes, size_t maxOutputBytes)
+      : scheduler_(scheduler),
+        signal_(signal),
+        maxInputBytes_(maxInputBytes),
+        maxOutputBytes_(maxOutputBytes) {}
 
-  void adopt(int fd);  // a connection that was accepted
-  // isConnected() tells when it is up, closeReason() if it failed. `from`: our own host, where it matters; 0: any.
+  // Takes over an accepted connection.
+  void adopt(int fd);
+  // Starts to connect: isConnected() tells when the connection is established, closeReason() why it failed.
+  // `from` is the local host address to bind to; 0: any.
   void connect(const Address& address, uint32_t from = 0);
   bool isConnected();
 
-  // Reads all there is, until the buffer is full; false once the connection has ended. The system is asked
-  // only when it has told of something, or with `look`.
-  bool receive(bool look = false);
-  bool inputLimited() const { return cutShort_; }  // the last receive() left some, for want of room
-  std::string& input() { return in_; }
-  const std::string& input() const { return in_; }
+  // Reads into input() all that has arrived, until the buffer is full; returns false once the connection is
+  // closed. Calls the system only after an epoll event that reported input, or if `force` is set.
+  bool receive(bool force = false);
+  // Whether the last receive() left input unread because the buffer was full (backpressure).
+  bool inputLimited() const { return inputLimited_; }
+  std::string& input() { return input_; }
+  const std::string& input() const { return input_; }
 
-  // What goes out; each write has a place, by which hasStarted() tells whether its first byte has gone.
+  // Appends to the output, and returns an id for hasStarted() and withdraw(). If the output buffer is then
+  // over its bound, the connection is closed. Nothing is sent before flush().
   uint64_t write(std::string bytes);
   void flush();
-  bool hasStarted(uint64_t place) const { return place < sent_; }
-  bool withdraw(uint64_t place);  // takes back a write that has not begun
-  bool allSent() const { return out_.empty(); }
+  // Whether the first byte of the write has been sent.
+  bool hasStarted(uint64_t writeId) const { return writeId < firstUnstarted_; }
+  // Removes a write of which nothing has been sent; returns false if that is too late.
+  bool withdraw(uint64_t writeId);
+  bool allSent() const { return output_.empty(); }
 
   bool isOpen() const { return socket_ != nullptr; }
   CloseReason closeReason() const { return reason_; }
-  void shutDown();                 // says that nothing more goes out
-  void close(CloseReason ending);  // closes; the first ending counts
+  // Half-close: nothing more is sent, input is still read.
+  void shutDown();
+  // Closes the connection; of several reasons the first is kept.
+  void close(CloseReason reason);
 
  private:
-  struct Chunk {
-    uint64_t place;
+  struct PendingWrite {
+    uint64_t id;
     std::string bytes;
   };
   void adoptDescriptor(int fd);
 
   Scheduler& scheduler_;
   Signal& signal_;
-  size_t mostIn_, mostOut_;
+  size_t maxInputBytes_;
+  size_t maxOutputBytes_;
   std::unique_ptr<Descriptor> socket_;
-  bool up_ = false, cutShort_ = false;
-  std::string in_;
-  std::deque<Chunk> out_;
-  size_t outBytes_ = 0, headSent_ = 0;
-  uint64_t next_ = 0, sent_ = 0;  // places given; places before this one have begun
+  bool connected_ = false;
+  bool inputLimited_ = false;
+  std::string input_;
+  std::deque<PendingWrite> output_;
+  size_t outputBytes_ = 0;     // not yet sent
+  size_t frontSentBytes_ = 0;  // sent of the first pending write
+  uint64_t nextWriteId_ = 0;
+  uint64_t firstUnstarted_ = 0;  // of all writes with an id below this one at least a byte has been sent
   CloseReason reason_ = CloseReason::none;
 };
 
-// As the system has it.
+// The address in the system's form, in network byte order.
 sockaddr_in toSockaddr(const Address& address);
-// A socket that listens, or an exception with the reason.
+// Opens a non-blocking listening socket. Throws std::system_error if that fails.
 int listenOn(const Address& address);
 
 }  // namespace elmcleat
