--- a/tests/service.h
+++ b/tests/service.h
@@ -1,5 +1,5 @@
-// For tests that start the program as a process and speak to it over sockets: stand-ins for engines and the change log,
-// the program itself, clients. Every wait is bounded.
+// Fixtures for tests that start the gateway as a process and communicate with it over sockets: stubs for engines and the
+// change log, the gateway process, and clients. Every wait is bounded.
 #pragma once
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
@@ -32,7 +32,7 @@
 
 namespace {
 
-constexpr int kWait = 8000;  // ms; far more than anything here takes, sanitized too
+constexpr int kWait = 8000;  // timeout in ms; far more than any step takes, even with sanitizers
 #ifdef __SANITIZE_ADDRESS__
 constexpr bool kSanitized = true;
 #else
@@ -42,10 +42,10 @@
 double now() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
-void pause(double span) { std::this_thread::sleep_for(std::chrono::duration<double>(span)); }
+void pause(double seconds) { std::this_thread::sleep_for(std::chrono::duration<double>(seconds)); }
 
-// An address of our own on loopback: each test process and each use has another one.
-sockaddr_in freshHost() {
+// A loopback address, a different one for each test process and each call, with port 0.
+sockaddr_in uniqueLoopbackAddress() {
   static uint32_t count = 0;
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -60,12 +60,13 @@
 }
 sockaddr* raw(sockaddr_in& address) { return reinterpret_cast<sockaddr*>(&address); }
 
-class StubConnection {  // one end of a connection
+// The test's end of a TCP connection, with blocking I/O and a timeout.
+class StubConnection {
  public:
   explicit StubConnection(int fd) : fd_(fd) {
-    timeval limit{kWait / 1000, 0};
-    setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
-    setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
+    timeval timeout{kWait / 1000, 0};
+    setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+    setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   }
   StubConnection(const StubConnection&) = delete;
   StubConnection& operator=(const StubConnection&) = delete;
@@ -83,7 +84,8 @@
     if (fd_ >= 0)
       ::close(std::exchange(fd_, -1));
   }
-  void reset() {  // a break, not an orderly close
+  // Ends the connection by a reset rather than an orderly close.
+  void reset() {
     linger hard{1, 0};
     setsockopt(fd_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
     close();
@@ -91,33 +93,37 @@
   void write(const std::string& bytes) {
     CHECK_EQ(send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL), bytes.size());
   }
-  void arrived() {  // all that was written is in the other side's queue
-    int left = 1;
-    for (int waits = 0; left > 0 && waits < kWait; ++waits) {
-      REQUIRE_EQ(ioctl(fd_, SIOCOUTQ, &left), 0);
-      if (left > 0)
+  // Waits until all bytes written are in the other side's receive queue.
+  void waitUntilDelivered() {
+    int unsent = 1;
+    for (int waits = 0; unsent > 0 && waits < kWait; ++waits) {
+      REQUIRE_EQ(ioctl(fd_, SIOCOUTQ, &unsent), 0);
+      if (unsent > 0)
         std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
-    REQUIRE_EQ(left, 0);
-  }
-  bool more() {  // false at the end, or when nothing came in time
-    char part[4096];
-    ssize_t got = recv(fd_, part, sizeof part, 0);
-    if (got > 0)
-      in.append(part, static_cast<size_t>(got));
+    REQUIRE_EQ(unsent, 0);
+  }
+  // Reads once into `in`; false at the end of the stream, on an error or after the timeout.
+  bool more() {
+    char buffer[4096];
+    ssize_t received = recv(fd_, buffer, sizeof buffer, 0);
+    if (received > 0)
+      in.append(buffer, static_cast<size_t>(received));
     else
-      over_ = got == 0 || errno != EAGAIN;
-    return got > 0;
+      closed_ = received == 0 || errno != EAGAIN;
+    return received > 0;
   }
-  std::string until(const std::string& mark) {
-    size_t at;
-    while ((at = in.find(mark)) == std::string::npos)
+  // Reads up to the delimiter and removes both from `in`; empty if it does not arrive.
+  std::string until(const std::string& delimiter) {
+    size_t position;
+    while ((position = in.find(delimiter)) == std::string::npos)
       if (!more())
         return "";
-    std::string text = in.substr(0, at);
-    in.erase(0, at + mark.size());
+    std::string text = in.substr(0, position);
+    in.erase(0, position + delimiter.size());
     return text;
   }
+  // Reads this many bytes; fewer if no more arrive.
   std::string bytes(size_t count) {
     while (in.size() < count && more()) {
     }
@@ -125,29 +131,32 @@
     in.erase(0, text.size());
     return text;
   }
-  bool ended() {  // by the other side, with nothing left to read
+  // Whether the other side closes the connection without sending anything more.
+  bool ended() {
     while (in.empty() && more()) {
     }
-    return in.empty() && over_;
+    return in.empty() && closed_;
   }
-  std::string in;
+  std::string in;  // bytes that were received and not consumed yet
 
  private:
   int fd_;
-  bool over_ = false;
+  bool closed_ = false;
 };
 
+// A listening socket on an address of its own.
 class Listener {
  public:
-  explicit Listener(int queue = 100) : address(freshHost()), queue_(queue) { up(); }
-  void up() {  // again under the same address, where it was down
+  explicit Listener(int backlog = 100) : address(uniqueLoopbackAddress()), backlog_(backlog) { up(); }
+  // Listens, after down() under the same address again.
+  void up() {
     fd_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     int on = 1;
     setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     REQUIRE_EQ(bind(fd_, raw(address), sizeof address), 0);
     socklen_t size = sizeof address;
     getsockname(fd_, raw(address), &size);
-    REQUIRE_EQ(listen(fd_, queue_), 0);
+    REQUIRE_EQ(listen(fd_, backlog_), 0);
   }
   void down() { ::close(std::exchange(fd_, -1)); }
   Listener(const Listener&) = delete;
@@ -162,27 +171,32 @@
   sockaddr_in address;
 
  private:
-  int fd_ = -1, queue_;
+  int fd_ = -1;
+  int backlog_;
 };
 
-struct EngineRequestLine {  // a line from the program to an engine
+// A request line from the gateway to an engine. Without a verb: none arrived in time.
+struct EngineRequestLine {
   int engine = -1;
   StubConnection* from = nullptr;
   std::string verb, id, fields, body;
-  void answer(const std::string& word, const std::string& fields_ = "-", const std::string& page = "") const {
+  void answer(const std::string& verdict, const std::string& responseFields = "-",
+              const std::string& page = "") const {
     REQUIRE(from);
-    from->write(id + " " + word + " " + fields_ + " " + std::to_string(page.size()) + "\r\n" + page + "\r\n");
+    from->write(id + " " + verdict + " " + responseFields + " " + std::to_string(page.size()) + "\r\n" +
+                page + "\r\n");
   }
   void hit(const std::string& page = "a\tb\tc\n") const { answer("HIT", "fetches=1", page); }
 };
 
-class EngineStubs {  // stand-ins, all served by one poll
+// Engines that the test plays itself, line by line. All connections are polled in next().
+class EngineStubs {
  public:
   explicit EngineStubs(size_t count) : listeners_(count) {}
-  const sockaddr_in& address(size_t i) { return std::next(listeners_.begin(), long(i))->address; }
-  // The next line to any of them; a line without a verb if none comes in time.
-  EngineRequestLine next(int wait = kWait) {
-    for (double end = now() + wait / 1e3; now() < end;) {
+  const sockaddr_in& address(size_t engine) { return std::next(listeners_.begin(), long(engine))->address; }
+  // The next line to any of the engines; a line without a verb if none arrives in time.
+  EngineRequestLine next(int timeoutMs = kWait) {
+    for (double end = now() + timeoutMs / 1e3; now() < end;) {
       for (auto& [engine, peer] : peers_)
         if (peer->in.find("\r\n") != std::string::npos)
           return read(engine, *peer);
@@ -201,13 +215,15 @@
         ++index;
       }
       for (auto& [engine, peer] : peers_)
-        for (auto& one : ready)
-          if (one.fd == peer->fd() && one.revents && !peer->more())
-            peer->close(), ++closed;
+        for (auto& entry : ready)
+          if (entry.fd == peer->fd() && entry.revents && !peer->more()) {
+            peer->close();
+            ++closed;
+          }
     }
     return {};
   }
-  int closed = 0;  // connections that the program has closed
+  int closed = 0;  // connections that the gateway has closed
   size_t connections() const { return peers_.size(); }
 
  private:
@@ -222,11 +238,13 @@
     }
     return line;
   }
-  std::list<Listener> listeners_;
+  std::list<Listener> listeners_;  // by engine
+  // Engine and connection.
   std::list<std::pair<int, std::unique_ptr<StubConnection>>> peers_;
 };
 
-// Any number of engines that answer whatever is sent to them at once: one listener on all of loopback stands for them.
+// Any number of engines that respond at once to everything sent to them, served by a thread. One listener on all loopback
+// addresses stands for all of them; an engine is known by its address.
 class EngineStubFarm {
  public:
   struct Sent {
@@ -234,27 +252,31 @@
     std::string id;
     uint32_t engine;  // its address
   };
-  enum class Way { answers, late, hangs, refuses };  // late: after kLate; refuses: breaks all connections
-  static constexpr double kLate = 0.15;
+  // late: responds after kLate; hangs: never responds; refuses: resets all connections.
+  enum class Way { answers, late, hangs, refuses };
+  static constexpr double kLate = 0.15;  // seconds
   EngineStubFarm() {
     sockaddr_in any{};
     any.sin_family = AF_INET;
     socklen_t size = sizeof any;
     listener_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     REQUIRE_EQ(bind(listener_, raw(any), sizeof any), 0);
-    getsockname(listener_, raw(any), &size), port = ntohs(any.sin_port);
+    getsockname(listener_, raw(any), &size);
+    port = ntohs(any.sin_port);
     REQUIRE_EQ(listen(listener_, 1000), 0);
     thread_ = std::thread([this] { run(); });
   }
   ~EngineStubFarm() {
-    over_ = true;
+    stopped_ = true;
     thread_.join();
     ::close(listener_);
   }
+  // All sends so far.
   std::vector<Sent> record() {
     std::lock_guard lock(mutex_);
     return record_;
   }
+  // The engines that have got a send.
   std::set<uint32_t> reached() {
     std::set<uint32_t> all;
     for (auto& sent : record())
@@ -266,110 +288,125 @@
     for (uint32_t engine : engines)
       ways_[engine] = way;
   }
-  int open(uint32_t engine) {  // connections there now
+  // Open connections to this engine.
+  int open(uint32_t engine) {
     std::lock_guard lock(mutex_);
     return open_[engine];
   }
-  int mostOpen() {  // at any engine, at any time
+  // The most connections that were open to one engine at any time.
+  int mostOpen() {
     std::lock_guard lock(mutex_);
     return mostOpen_;
   }
-  std::pair<int, int> made() {  // connections so far, and those that have ended
+  // Connections accepted so far, and how many of them have ended.
+  std::pair<int, int> made() {
     std::lock_guard lock(mutex_);
     return {made_, ended_};
   }
   int port = 0;
 
  private:
-  struct End {
-    End(int fd, uint32_t at) : peer(fd), engine(at) {}
+  struct Connection {
+    Connection(int fd, uint32_t engineAddress) : peer(fd), engine(engineAddress) {}
     StubConnection peer;
     uint32_t engine;
-    std::list<std::pair<double, std::string>> owed = {};  // answers, and from when on
+    std::list<std::pair<double, std::string>> responses = {};  // pending, with the time when each is due
   };
-  Way wayOf(uint32_t engine) {
+  Way behaviorOf(uint32_t engine) {
     std::lock_guard lock(mutex_);
     auto found = ways_.find(engine);
     return found == ways_.end() ? Way::answers : found->second;
   }
-  // False once it is over.
-  bool serve(End& end, bool news) {
-    Way way = wayOf(end.engine);
-    if (way == Way::refuses)
-      return end.peer.reset(), false;
-    bool over = news && !end.peer.more();
-    while (end.peer.in.find("\r\n") != std::string::npos) {
-      std::istringstream words(end.peer.until("\r\n"));
+  // Reads requests and sends the responses that are due; false once the connection has ended.
+  bool serve(Connection& connection, bool readable) {
+    Way way = behaviorOf(connection.engine);
+    if (way == Way::refuses) {
+      connection.peer.reset();
+      return false;
+    }
+    bool ended = readable && !connection.peer.more();
+    while (connection.peer.in.find("\r\n") != std::string::npos) {
+      std::istringstream words(connection.peer.until("\r\n"));
       std::string verb, id, fields;
       size_t length = 0;
       words >> verb >> id >> fields;
       if (words >> length)
-        end.peer.bytes(length + 2);
+        connection.peer.bytes(length + 2);
       if (verb != "GET")
         continue;
       {
         std::lock_guard lock(mutex_);
-        record_.push_back({now(), id, end.engine});
+        record_.push_back({now(), id, connection.engine});
       }
       if (way == Way::hangs)
         continue;
-      end.owed.push_back({now() + (way == Way::late ? kLate : 0), id + " HIT fetches=1 6\r\na\tb\tc\n\r\n"});
+      connection.responses.push_back(
+          {now() + (way == Way::late ? kLate : 0), id + " HIT fetches=1 6\r\na\tb\tc\n\r\n"});
     }
-    for (; !end.owed.empty() && end.owed.front().first <= now(); end.owed.pop_front()) {
-      auto& hit = end.owed.front().second;  // it may have gone meanwhile
-      (void)!send(end.peer.fd(), hit.data(), hit.size(), MSG_NOSIGNAL);
+    for (auto& responses = connection.responses; !responses.empty() && responses.front().first <= now();
+         responses.pop_front()) {
+      auto& hit = responses.front().second;
+      // The gateway may have closed the connection meanwhile.
+      (void)!send(connection.peer.fd(), hit.data(), hit.size(), MSG_NOSIGNAL);
     }
-    return !over;
+    return !ended;
   }
   void run() {
-    std::list<End> ends;
-    while (!over_) {
+    std::list<Connection> connections;
+    while (!stopped_) {
       std::vector<pollfd> ready{{listener_, POLLIN, 0}};
-      for (auto& end : ends)
-        ready.push_back({end.peer.fd(), POLLIN, 0});
+      for (auto& connection : connections)
+        ready.push_back({connection.peer.fd(), POLLIN, 0});
       poll(ready.data(), ready.size(), 20);
       size_t i = 1;
-      for (auto one = ends.begin(); one != ends.end(); ++i) {
-        if (serve(*one, ready[i].revents)) {
-          ++one;
+      for (auto connection = connections.begin(); connection != connections.end(); ++i) {
+        if (serve(*connection, ready[i].revents)) {
+          ++connection;
           continue;
         }
         std::lock_guard lock(mutex_);
-        --open_[one->engine], ++ended_;
-        one = ends.erase(one);
+        --open_[connection->engine];
+        ++ended_;
+        connection = connections.erase(connection);
       }
       if (!ready[0].revents)
         continue;
       sockaddr_in local{};
-      socklen_t room = sizeof local;
+      socklen_t size = sizeof local;
       int fd = accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
-      getsockname(fd, raw(local), &room);
+      getsockname(fd, raw(local), &size);
       uint32_t engine = ntohl(local.sin_addr.s_addr);
-      ends.emplace_back(fd, engine);
+      connections.emplace_back(fd, engine);
       std::lock_guard lock(mutex_);
-      ++made_, mostOpen_ = std::max(mostOpen_, ++open_[engine]);
+      ++made_;
+      mostOpen_ = std::max(mostOpen_, ++open_[engine]);
     }
   }
-  int listener_, made_ = 0, ended_ = 0, mostOpen_ = 0;
+  int listener_;
+  int made_ = 0;
+  int ended_ = 0;
+  int mostOpen_ = 0;
   std::vector<Sent> record_;
   std::map<uint32_t, Way> ways_;
   std::map<uint32_t, int> open_;
   std::mutex mutex_;
-  std::atomic<bool> over_{false};
+  std::atomic<bool> stopped_{false};
   std::thread thread_;
 };
 
-std::string big(uint64_t value, int width) {
+std::string bigEndian(uint64_t value, int width) {
   std::string bytes;
   for (int i = width - 1; i >= 0; --i)
     bytes += static_cast<char>(value >> (8 * i) & 0xff);
   return bytes;
 }
 
-class GatewayProcess {  // the program, its change log and its configuration
+// The gateway as a process, with its change log and its configuration, which a test may change before start().
+class GatewayProcess {
  public:
-  explicit GatewayProcess(EngineStubs& engines, size_t count, size_t sockets = 1024) : listen(freshHost()) {
-    Listener probe;  // a port that is free there, most likely
+  explicit GatewayProcess(EngineStubs& engines, size_t count, size_t sockets = 1024)
+      : listen(uniqueLoopbackAddress()) {
+    Listener probe;  // finds a port that is most likely free at that address
     listen.sin_port = probe.address.sin_port;
     Json hosts = Json::array();
     for (size_t i = 0; i < count; ++i)
@@ -411,28 +448,36 @@
     config["settings"]["classes"][1]["sequential"] = true;
   }
   ~GatewayProcess() {
-    if (pid_ > 0)
-      ::kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
+    if (pid_ > 0) {
+      ::kill(pid_, SIGKILL);
+      waitpid(pid_, nullptr, 0);
+    }
     std::filesystem::remove_all(folder_);
   }
 
+  // Writes the gateway file.
   void own(const std::string& text) const { std::ofstream(folder_ + "/gateway.json") << text; }
-  void configure(const std::string& text) { std::ofstream(folder_ + "/config.json") << text; }
+  // Writes the platform's configuration.
+  void writeConfig(const std::string& text) { std::ofstream(folder_ + "/config.json") << text; }
+  // `descriptors`: limit of open descriptors; 0: the test's own. `log`: descriptor for the log; below 0: a file.
   void start(rlim_t descriptors = 0, int log = -1) {
     char name[] = "/tmp/elmcleat-test-XXXXXX";
     if (folder_.empty())
       folder_ = mkdtemp(name);
-    configure(config.dump());
+    writeConfig(config.dump());
     if (!gateway.empty())
       own(gateway);
     pid_ = fork();
     if (pid_ == 0) {
       setenv("PROXY_CONFIG", (folder_ + "/config.json").c_str(), 1);
-      unsetenv("PROXY_LISTEN"), unsetenv("PROXY_NAME"), unsetenv("ELMCLEAT_LOG");
+      unsetenv("PROXY_LISTEN");
+      unsetenv("PROXY_NAME");
+      unsetenv("ELMCLEAT_LOG");
       if (log < 0)
         log = open((folder_ + "/log").c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-      dup2(log, 2), dup2(log, 1);
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // it must not outlive a test that fails
+      dup2(log, 2);
+      dup2(log, 1);
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // must not outlive a test that fails
       rlimit limit{descriptors, descriptors};
       if (descriptors > 0)
         setrlimit(RLIMIT_NOFILE, &limit);
@@ -444,7 +489,7 @@
       _exit(99);
     }
   }
-  // Once it answers `GET /check`, as the front does.
+  // Waits until it answers the health check, `GET /check`.
   void ready() {
     for (double end = now() + kWait / 1e3; now() < end; pause(0.01))
       if (auto client = StubConnection::to(listen)) {
@@ -452,22 +497,24 @@
         REQUIRE(client->until("\r\n").starts_with("HTTP/1.1 200"));
         return;
       }
-    FAIL("the program does not listen");
+    FAIL("the gateway does not listen");
   }
   void kill(int signal) { ::kill(pid_, signal); }
-  long peakMb() const {  // the most memory it has held
+  // Peak resident memory; -1 if unknown.
+  long peakMb() const {
     std::ifstream file("/proc/" + std::to_string(pid_) + "/status");
     for (std::string word; file >> word;)
       if (long kb = 0; word == "VmHWM:" && file >> kb)
         return kb / 1024;
     return -1;
   }
-  std::vector<pid_t> threads(const std::string& name = "") const {  // of that name; empty: all
+  // The threads with this name; all if it is empty.
+  std::vector<pid_t> threads(const std::string& name = "") const {
     std::vector<pid_t> found;
     for (auto& task : std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/task")) {
-      std::string called;
-      std::ifstream(task.path() / "comm") >> called;
-      if (name.empty() || called == name)
+      std::string threadName;
+      std::ifstream(task.path() / "comm") >> threadName;
+      if (name.empty() || threadName == name)
         found.push_back(std::stoi(task.path().filename()));
     }
     return found;
@@ -476,7 +523,8 @@
     auto open = std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/fd");
     return std::distance(begin(open), end(open));
   }
-  int status() {  // of its end: the exit status, or 1000 and the signal that ended it
+  // Waits for its end: the exit status, or 1000 plus the signal that ended it; -1 after the timeout.
+  int status() {
     for (double end = now() + kWait / 1e3; now() < end; pause(0.005)) {
       int status = 0;
       if (waitpid(pid_, &status, WNOHANG) != pid_)
@@ -491,18 +539,20 @@
     text << std::ifstream(folder_ + "/log").rdbuf();
     return text.str();
   }
-  bool logs(const std::string& text) {  // before long
+  // Whether the text appears in the log before the timeout.
+  bool logs(const std::string& text) {
     for (double end = now() + kWait / 1e3; now() < end; pause(0.01))
       if (log().find(text) != std::string::npos)
         return true;
     return false;
   }
   std::unique_ptr<StubConnection> client() {
-    auto made = StubConnection::to(listen);
-    REQUIRE(made);
-    return made;
+    auto connection = StubConnection::to(listen);
+    REQUIRE(connection);
+    return connection;
   }
-  std::unique_ptr<StubConnection> follower() {  // the program, reading the change log
+  // Accepts the gateway's next connection to the change log and reads its resume request.
+  std::unique_ptr<StubConnection> follower() {
     auto peer = changeLog.accept();
     resumed = peer->bytes(8);
     return peer;
@@ -511,25 +561,26 @@
   sockaddr_in listen;
   Listener changeLog;
   Json config;
-  std::string gateway;  // our own file's text; empty: none
-  std::string resumed;  // the number from which the last follower reads on
+  std::string gateway;  // text of the gateway file; empty: none
+  std::string resumed;  // sequence number that the last resume request named, as 8 bytes
 
  private:
   pid_t pid_ = -1;
   std::string folder_;
 };
 
-// An engine in a frame of the change log; the zone by its number.
+// The record of an engine in a frame of the change log; zone and state are numbers.
 std::string record(uint32_t id, int state, const sockaddr_in& address, int zone = 0, uint64_t bornMs = 0) {
-  return big(id, 4) + big(ntohl(address.sin_addr.s_addr), 4) + big(ntohs(address.sin_port), 2) +
-         big(uint64_t(state), 1) + big(uint64_t(zone), 1) + big(0, 1) + big(id - 1, 2) + big(1000, 4) +
-         big(bornMs, 8);
+  return bigEndian(id, 4) + bigEndian(ntohl(address.sin_addr.s_addr), 4) +
+         bigEndian(ntohs(address.sin_port), 2) + bigEndian(uint64_t(state), 1) +
+         bigEndian(uint64_t(zone), 1) + bigEndian(0, 1) + bigEndian(id - 1, 2) + bigEndian(1000, 4) +
+         bigEndian(bornMs, 8);
 }
-// Kinds: 0 nothing new, 1 the whole list, 2 changes.
+// A frame of the change log. Kinds: 0 heartbeat, 1 full list, 2 changes.
 std::string frame(uint64_t number, int kind, const std::string& records = "") {
-  return big(9 + records.size(), 4) + big(number, 8) + big(uint64_t(kind), 1) + records;
+  return bigEndian(9 + records.size(), 4) + bigEndian(number, 8) + bigEndian(uint64_t(kind), 1) + records;
 }
-// A frame with one engine of the list.
+// A frame with a change of one engine.
 [[maybe_unused]] std::string change(uint64_t number, uint32_t id, int state, const sockaddr_in& address) {
   return frame(number, 2, record(id, state, address));
 }
@@ -547,7 +598,8 @@
 }
 const std::string kToken = "Req-Token: 5c0f6e1a\r\n", kKey = "Req-Key: 7f3a9c21e0b4d655\r\n";
 
-std::string answer(StubConnection& client) {  // status and body
+// The next HTTP response: status and body; "none" if there is none.
+std::string answer(StubConnection& client) {
   std::string head = client.until("\r\n\r\n");
   size_t length = head.find("Content-Length: ");
   if (length == std::string::npos)
@@ -557,10 +609,12 @@
 const std::string kServed = R"(200 {"records":[["a","b","c"]]})", kBusy = R"(503 {"problem":"Busy"})",
                   kFailed = R"(500 {"problem":"Failed"})";
 
-struct ServiceFixture {  // a program that is ready, with engines
+// A gateway that is ready, with engines.
+struct ServiceFixture {
   explicit ServiceFixture(size_t count = 2, size_t sockets = 1024)
       : engines(count), service(engines, count, sockets) {
-    service.start(), service.ready();
+    service.start();
+    service.ready();
   }
   EngineStubs engines;
   GatewayProcess service;
