--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// The gateway program: parses the command line, creates and connects the parts, and handles signals. SIGTERM and SIGINT
-// start a graceful shutdown, SIGHUP reloads the configuration.
+// The gateway program: parses the command line, creates and connects the parts, and handles signals. SIGTERM
+// and SIGINT start a graceful shutdown, SIGHUP reloads the configuration.
 #include <signal.h>
 #include <sys/resource.h>
 #include <sys/signalfd.h>
@@ -47,8 +47,8 @@
   return options.gatewayFile.empty() ? GatewayConfig{} : readGatewayConfig(options.gatewayFile);
 }
 
-// Applies what can change while commands and connections are open: the address of the change log, the log level, and
-// budgets. The two files are independent of each other; one that can't be used changes nothing.
+// Applies what can change while commands and connections are open: the address of the change log, the log
+// level, and budgets. The two files are independent of each other; one that can't be used changes nothing.
 void reloadConfig(const Options& options, Discovery& discovery, Dispatcher& dispatcher,
                   const GatewayConfig& startConfig) {
   try {
@@ -86,8 +86,9 @@
   }
 }
 
-// Passes the quotas of shared rates from the control thread to the dispatcher, and the demand back, fifty times a second.
-// A grant of this gateway waits until this has acknowledged the snapshot (ControlThread::acknowledge).
+// Passes the quotas of shared rates from the control thread to the dispatcher, and the demand back, fifty
+// times a second. A grant of this gateway waits until this has acknowledged the snapshot
+// (ControlThread::acknowledge).
 void refreshQuotas(ControlThread& control, Dispatcher& dispatcher, Timer& refreshTimer, const Clock& clock) {
   refreshTimer.set(clock.now() + kQuotaRefreshSeconds);
   const ControlSnapshot* snapshot = control.latestQuotas();
@@ -98,7 +99,8 @@
                           });
 }
 
-// All gateways of a fleet have to use the same number of gateways, or they disagree on which of them use an engine.
+// All gateways of a fleet have to use the same number of gateways, or they disagree on which of them use an
+// engine.
 std::unique_ptr<view::EngineSubset> createSubset(const GatewayConfig& gatewayConfig,
                                                  const Settings& settings) {
   if (!gatewayConfig.subset)
--- a/src/serve/client_connection.cpp
+++ b/src/serve/client_connection.cpp
@@ -11,20 +11,21 @@
 constexpr size_t kMaxInputBytes = 32 * 1024;
 constexpr size_t kMaxOutputBytes = 1 << 20;
 
-// Clients close a connection that has been idle for 4 s. One that has been idle for twice as long was forgotten by its
-// client, or is held open for good. The same time is allowed for taking a response.
+// Clients close a connection that has been idle for 4 s. One that has been idle for twice as long was
+// forgotten by its client, or is held open for good. The same time is allowed for taking a response.
 constexpr double kIdleTimeoutSeconds = 8;
 
-// Clients connect in order to send a request, and write it at once. One that has not sent a complete request by then
-// will not do so any more. Guards descriptors and memory against partial requests, floods of silent connections and
-// headers without end. Harms a client that is stopped for that long in the middle of a request.
+// Clients connect in order to send a request, and write it at once. One that has not sent a complete request
+// by then will not do so any more. Guards descriptors and memory against partial requests, floods of silent
+// connections and headers without end. Harms a client that is stopped for that long in the middle of a
+// request.
 constexpr double kRequestTimeoutSeconds = 2;
 
 // How long input is still read after the last response, so that our close does not overtake the response.
 constexpr double kLingerSeconds = 3;
 
-// Input that is only discarded is read in bursts of this many reads, with this pause between them: a body of many MB
-// would otherwise keep the core from all other connections.
+// Input that is only discarded is read in bursts of this many reads, with this pause between them: a body of
+// many MB would otherwise keep the core from all other connections.
 constexpr double kDiscardPauseSeconds = 0.01;
 constexpr int kDiscardReadsPerBurst = 8;
 
@@ -79,8 +80,8 @@
                      : idleSince_ + (requestReceived_ ? kIdleTimeoutSeconds : kRequestTimeoutSeconds));
 }
 
-// Bytes that the client has written and that were not read yet may be a request that needs a response, so the socket is
-// read first. A client whose request is only partly there gets a response that it is shed.
+// Bytes that the client has written and that were not read yet may be a request that needs a response, so the
+// socket is read first. A client whose request is only partly there gets a response that it is shed.
 bool ClientConnection::tryEvict() {
   signal_.raise();
   if (!closing_)
@@ -95,8 +96,8 @@
   return true;
 }
 
-// A client that has not taken its response, or has not closed after the last one, is disconnected. In all other cases
-// the socket is read once more before the connection ends.
+// A client that has not taken its response, or has not closed after the last one, is disconnected. In all
+// other cases the socket is read once more before the connection ends.
 void ClientConnection::timeLimitReached() {
   if (busy_ || closing_)
     stream_.close(CloseReason::idle);
@@ -105,8 +106,8 @@
   signal_.raise();
 }
 
-// The client may have sent more behind its request than the buffer holds: that is read and discarded, so that the end
-// of the stream is seen.
+// The client may have sent more behind its request than the buffer holds: that is read and discarded, so that
+// the end of the stream is seen.
 bool ClientConnection::isConnected() {
   stream_.receive(true);
   for (int i = 0; i < kDiscardReadsPerBurst && stream_.inputLimited(); ++i) {
@@ -197,7 +198,8 @@
       if (auto localResponse = serve(std::move(request))) {
         bytes = std::move(*localResponse);
       } else {
-        // The command is with the dispatcher: wait for its response, and watch whether the client disconnects.
+        // The command is with the dispatcher: wait for its response, and watch whether the client
+        // disconnects.
         answeredLocally = false;
         while (!response_ && !abandoned_ && stream_.isOpen()) {
           co_await signal_;
@@ -230,8 +232,9 @@
       co_await signal_.afterOthers();  // a client that pipelines requests gives way to other actors
   }
 
-  // Half-close, then read and discard what the client still sends until it closes: with unread bytes our close would
-  // become a reset, which may overtake the response. Other actors get their turns between the bursts.
+  // Half-close, then read and discard what the client still sends until it closes: with unread bytes our
+  // close would become a reset, which may overtake the response. Other actors get their turns between the
+  // bursts.
   stream_.shutDown();
   timeLimit_.set(scheduler_.now() + kLingerSeconds);
   closing_ = true;
--- a/src/serve/client_connection.h
+++ b/src/serve/client_connection.h
@@ -1,6 +1,6 @@
-// A client's connection, and the actor that serves it: it reads HTTP requests, submits commands to the dispatcher, and
-// writes the responses, one request at a time. It owns the socket's stream, the request parser and the context of the
-// request that is being served.
+// A client's connection, and the actor that serves it: it reads HTTP requests, submits commands to the
+// dispatcher, and writes the responses, one request at a time. It owns the socket's stream, the request
+// parser and the context of the request that is being served.
 #pragma once
 #include <functional>
 #include <memory>
@@ -23,13 +23,14 @@
 
 class ClientConnection final : public Responder {
  public:
-  // `overLimit`: the listener's connection limit is reached, so the first request is shed and the connection closed.
+  // `overLimit`: the listener's connection limit is reached, so the first request is shed and the connection
+  // closed.
   ClientConnection(Scheduler& scheduler, const Settings& settings, Dispatcher& dispatcher,
                    MemoryBudget& memory, int fd, bool overLimit = false);
   ~ClientConnection() override;
 
-  // `responsesSent` is called when no further response will be sent, `closed` when the connection has ended and may be
-  // destroyed.
+  // `responsesSent` is called when no further response will be sent, `closed` when the connection has ended
+  // and may be destroyed.
   void onFinished(std::function<void()> responsesSent, std::function<void()> closed) {
     onResponsesSent_ = std::move(responsesSent);
     onClosed_ = std::move(closed);
@@ -45,8 +46,8 @@
   // Closes an idle connection, unless a request has arrived meanwhile; false if one has.
   bool tryEvict();
 
-  // Graceful shutdown: no further request is awaited. An idle client is sent a half-close; a request that has begun to
-  // arrive is still served.
+  // Graceful shutdown: no further request is awaited. An idle client is sent a half-close; a request that has
+  // begun to arrive is still served.
   void drain();
 
   // Whether a response is pending, or may be.
@@ -65,7 +66,8 @@
   bool requestStarted() const { return !stream_.input().empty() || !parser_.isBetweenRequests(); }
   void timeLimitReached();
   void accountMemory(size_t bytes);
-  // Handles one request: returns its response, or none if it was submitted to the dispatcher (context_ is set then).
+  // Handles one request: returns its response, or none if it was submitted to the dispatcher (context_ is set
+  // then).
   std::optional<std::string> serve(HttpRequest&& request);
   std::string errorResponse(int status, const std::string& reason, bool keepAlive) const;
 
--- a/src/serve/connection_quota.h
+++ b/src/serve/connection_quota.h
@@ -1,10 +1,10 @@
-// The quota of connections to engines, shared by all engines: a third of the descriptors, as many as clients may hold.
-// Each connection holds a slot. When no slot is free, the connection that has been idle for longest, to whichever
-// engine, is closed to free one; when none is idle, the engine that needs a slot waits until a connection ends or
-// becomes idle. Engines wait in order of request.
+// The quota of connections to engines, shared by all engines: a third of the descriptors, as many as clients
+// may hold. Each connection holds a slot. When no slot is free, the connection that has been idle for
+// longest, to whichever engine, is closed to free one; when none is idle, the engine that needs a slot waits
+// until a connection ends or becomes idle. Engines wait in order of request.
 //
-// Guards against lists with more engines than descriptors, where one idle connection for each engine would use them all
-// up. The cost is a handshake whenever sends go round more engines than there are slots.
+// Guards against lists with more engines than descriptors, where one idle connection for each engine would
+// use them all up. The cost is a handshake whenever sends go round more engines than there are slots.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -26,7 +26,8 @@
   // The slot of one connection, held for the lifetime of this object or until the quota reclaims it.
   class Slot {
    public:
-    // `close` is called when the slot is reclaimed while its connection is idle; it has to close the connection.
+    // `close` is called when the slot is reclaimed while its connection is idle; it has to close the
+    // connection.
     Slot(ConnectionQuota& quota, std::function<void()> close) : quota_(quota), close_(std::move(close)) {
       ++quota_.slotsHeld_;
     }
@@ -74,8 +75,8 @@
     return std::make_unique<Slot>(*this, std::move(close));
   }
 
-  // The system may be out of descriptors even within the quota: asks another owner to close an idle connection. False if
-  // there is none to close.
+  // The system may be out of descriptors even within the quota: asks another owner to close an idle
+  // connection. False if there is none to close.
   std::function<bool()> evictOther = [] { return false; };
 
   // Raises `signal` once when a slot may be free. A waiter that finds none then has to add itself again.
--- a/src/serve/discovery.cpp
+++ b/src/serve/discovery.cpp
@@ -11,12 +11,12 @@
 namespace elmcleat {
 namespace {
 
-// The change log sends a heartbeat each second. After this silence, in which two were missed, the connection counts as
-// dead.
+// The change log sends a heartbeat each second. After this silence, in which two were missed, the connection
+// counts as dead.
 constexpr double kSilenceTimeoutSeconds = 2.5;
 
-// Pause before a reconnect to a change log that refused the connection or ended it before the first frame. Without a
-// pause the reconnects would use up the core.
+// Pause before a reconnect to a change log that refused the connection or ended it before the first frame.
+// Without a pause the reconnects would use up the core.
 constexpr double kReconnectPauseSeconds = 0.1;
 
 constexpr size_t kMinEngineConnections = 8;  // the quota's lower limit, however few descriptors there are
@@ -105,8 +105,8 @@
     if (connected || first)
       warn() << "change log: connection ended: " << nameOf(stream.closeReason());
 
-    // Reconnect at once if the address has changed, or if the connection delivered a frame and its attempt is at least
-    // one pause ago; otherwise pause first.
+    // Reconnect at once if the address has changed, or if the connection delivered a frame and its attempt is
+    // at least one pause ago; otherwise pause first.
     if (addressChanged_ || (receivedFrame && scheduler_.now() >= startedAt + kReconnectPauseSeconds))
       continue;
     startTimer(kReconnectPauseSeconds);
@@ -159,8 +159,8 @@
   applySubsetChanges(subset_->tick(scheduler_.clock().toUnix(scheduler_.now())), "its own width");
 }
 
-// Only the changes within the subset are applied: engines outside it have no log line, actor, timer or row in the
-// module.
+// Only the changes within the subset are applied: engines outside it have no log line, actor, timer or row in
+// the module.
 void Discovery::applySubsetChanges(const std::vector<ListedEngine>& changes, const char* cause) {
   if (double wakeUp = subset_->nextWakeUp(); wakeUp < HUGE_VAL)
     subsetTimer_.set(scheduler_.clock().fromUnix(int64_t(wakeUp * 1e3) + 1));
@@ -176,8 +176,8 @@
   updateEngines(changes, false);
 }
 
-// Creates, updates and retires engines. With a full list, engines that it does not name are retired; retired engines
-// are removed once they have no connection left.
+// Creates, updates and retires engines. With a full list, engines that it does not name are retired; retired
+// engines are removed once they have no connection left.
 void Discovery::updateEngines(const std::vector<ListedEngine>& listings, bool isFullList) {
   std::set<uint32_t> listedIds;
   std::vector<EngineRecord> rows;
--- a/src/serve/discovery.h
+++ b/src/serve/discovery.h
@@ -1,6 +1,6 @@
-// Discovery of engines: the actor that follows the change log, and the owner of the engines that it lists. It applies
-// the change log's events, limits them to the subset that this gateway uses, passes the resulting list to the
-// dispatcher, and routes the dispatcher's actions to the engines.
+// Discovery of engines: the actor that follows the change log, and the owner of the engines that it lists. It
+// applies the change log's events, limits them to the subset that this gateway uses, passes the resulting
+// list to the dispatcher, and routes the dispatcher's actions to the engines.
 #pragma once
 #include <functional>
 #include <memory>
@@ -24,12 +24,12 @@
   // Applies the events that are known already, then follows the change log from the last of them on.
   void start(const std::vector<EngineListEvent>& initialEvents);
 
-  // `evict` closes an idle connection of another owner; used when the system has no descriptor left for the change log
-  // or for an engine. It returns false if there is none to close.
+  // `evict` closes an idle connection of another owner; used when the system has no descriptor left for the
+  // change log or for an engine. It returns false if there is none to close.
   void setEvictor(std::function<bool()> evict) { connectionQuota_.evictOther = std::move(evict); }
 
-  // Follows the change log at this address, at once and from the last sequence number on. No effect if it is the
-  // current one.
+  // Follows the change log at this address, at once and from the last sequence number on. No effect if it is
+  // the current one.
   void follow(const Address& changeLog);
 
   void send(uint32_t node, std::shared_ptr<RequestContext> context, double until) override;
--- a/src/serve/dispatcher.cpp
+++ b/src/serve/dispatcher.cpp
@@ -56,7 +56,8 @@
   return true;
 }
 
-// The responder is cleared at once, because it may not outlive this call; the module is informed in the next batch.
+// The responder is cleared at once, because it may not outlive this call; the module is informed in the next
+// batch.
 void Dispatcher::withdraw(const std::shared_ptr<RequestContext>& context) {
   context->responder = nullptr;
   mailbox_.post([this, context] {
@@ -94,7 +95,8 @@
   });
 }
 
-// Budgets can change but not be added or removed: queued commands are in the order of the one queue or the other.
+// Budgets can change but not be added or removed: queued commands are in the order of the one queue or the
+// other.
 void Dispatcher::updateBudgets(const std::optional<budget::BudgetSettings>& budgetSettings) {
   if (budgetSettings.has_value() != (budgets_ != nullptr)) {
     warn() << "budgets: unchanged: they can't be switched on or off without a restart";
@@ -178,7 +180,8 @@
 }
 
 void Dispatcher::shed(Command& command, double retryAfter) {
-  // With budgets the advice is at least the wait that the command would be given if it were submitted again now.
+  // With budgets the advice is at least the wait that the command would be given if it were submitted again
+  // now.
   if (budgets_ && budgets_->tree().settings().adviseRetryAfter)
     retryAfter = std::max(retryAfter, budgets_->estimateNow(command).p90);
   respond(*contextOf(command), {Response::Kind::shed, {}, retryAfter});
@@ -198,8 +201,8 @@
     responder->respond(std::move(response));
 }
 
-// Removes a finished command that has no send in flight. Until then its id stays in use: with a new command under the
-// same id, engines and this gateway would confuse the two sends.
+// Removes a finished command that has no send in flight. Until then its id stays in use: with a new command
+// under the same id, engines and this gateway would confuse the two sends.
 void Dispatcher::removeIfFinished(const std::shared_ptr<RequestContext>& context) {
   if (context->finished && !context->sendInFlight && contexts_.erase(context->command.get()))
     contextsById_.erase(context->request.id);
--- a/src/serve/dispatcher.h
+++ b/src/serve/dispatcher.h
@@ -1,7 +1,7 @@
-// The dispatcher: the actor around the decision module (Policy). Every event from clients, engines and discovery is
-// posted to its mailbox. It processes them in batches: advanceTo(now), all posted tasks, then decide() once. The actions
-// that the module decides on (ActionSink) go straight to the engines and responders. Every client protocol uses
-// submit(), withdraw() and Responder.
+// The dispatcher: the actor around the decision module (Policy). Every event from clients, engines and
+// discovery is posted to its mailbox. It processes them in batches: advanceTo(now), all posted tasks, then
+// decide() once. The actions that the module decides on (ActionSink) go straight to the engines and
+// responders. Every client protocol uses submit(), withdraw() and Responder.
 #pragma once
 #include <functional>
 #include <memory>
@@ -26,8 +26,8 @@
   virtual void cancel(uint32_t node, std::shared_ptr<RequestContext> context) = 0;
   // The command's deadline is earlier now: its send has to end by then.
   virtual void shortenDeadline(uint32_t node, std::shared_ptr<RequestContext> context) = 0;
-  // The client has gone: a send of which nothing has been transmitted never will be. This is allowed without the right
-  // to cancel.
+  // The client has gone: a send of which nothing has been transmitted never will be. This is allowed without
+  // the right to cancel.
   virtual void withdraw(uint32_t node, std::shared_ptr<RequestContext> context) = 0;
   virtual void probe(uint32_t node) = 0;
   // The module has ejected the engine as unhealthy, or has readmitted it.
@@ -36,9 +36,9 @@
 
 class Dispatcher final : public ActionSink {
  public:
-  // With `budgetSettings`, budgets order the module's queues; without, the module decides alone. `localSettings`: the
-  // module's settings for the part of the fleet that this gateway uses, if it uses a part only; budgets are divided by
-  // the number of all gateways in any case.
+  // With `budgetSettings`, budgets order the module's queues; without, the module decides alone.
+  // `localSettings`: the module's settings for the part of the fleet that this gateway uses, if it uses a
+  // part only; budgets are divided by the number of all gateways in any case.
   Dispatcher(Scheduler& scheduler, const Settings& settings, uint64_t seed,
              const std::optional<budget::BudgetSettings>& budgetSettings = {},
              const std::optional<Settings>& localSettings = {});
@@ -64,11 +64,12 @@
   // The request header, in lower case, that names users below the tenant; empty if there is none.
   const std::string& actorHeader() const { return actorHeader_; }
 
-  // Budgets after a reload of the configuration; commands may be in flight. Budgets can't be switched on or off.
+  // Budgets after a reload of the configuration; commands may be in flight. Budgets can't be switched on or
+  // off.
   void updateBudgets(const std::optional<budget::BudgetSettings>& budgetSettings);
 
-  // For rates shared with other gateways: `quotas` may be used here from now on; `reportDemand` is called with the
-  // demand for each (budget::TreeScheduler).
+  // For rates shared with other gateways: `quotas` may be used here from now on; `reportDemand` is called
+  // with the demand for each (budget::TreeScheduler).
   void updateQuotas(std::vector<shared::AvailableQuota> quotas,
                     std::function<void(std::vector<double>)> reportDemand);
 
--- a/src/serve/engine.cpp
+++ b/src/serve/engine.cpp
@@ -83,8 +83,8 @@
   });
 }
 
-// No connection takes new sends any more. Sends of which nothing has been transmitted are ended (rule 3: at a draining
-// engine a send counts from its first byte).
+// No connection takes new sends any more. Sends of which nothing has been transmitted are ended (rule 3: at a
+// draining engine a send counts from its first byte).
 void Engine::retireConnections() {
   while (!waiting_.empty())
     endWaiting(*waiting_.front()->context, CloseReason::replaced);
@@ -107,8 +107,8 @@
     if (retired_)
       return dispatcher_.sendFinished(context, outcomeOf(CloseReason::replaced, false), 0, {}, {}, {});
     double now = scheduler_.now();
-    // Engines write status messages on every send at a set interval. If two in a row are missing, the engine is cut off
-    // or gone.
+    // Engines write status messages on every send at a set interval. If two in a row are missing, the engine
+    // is cut off or gone.
     if (settings_.statusInterval > 0 && sendsInFlight_ > 0 &&
         now > silentSince_ + 2 * settings_.statusInterval)
       suspectConnections();
@@ -145,8 +145,8 @@
     writeSend(*connection, *send);
 }
 
-// Called after each turn. If no send waits here any more, a slot that this engine was notified of goes to the next
-// waiter.
+// Called after each turn. If no send waits here any more, a slot that this engine was notified of goes to the
+// next waiter.
 void Engine::startWaiting() {
   if (waiting_.empty())
     return connectionQuota_.notifyWaiter();
@@ -166,8 +166,8 @@
   dispatcher_.sendFinished(ended->context, outcomeOf(reason, false), 0, {}, {}, {});
 }
 
-// Whether the client is still connected is checked at the last moment: when the process resumes after a stop, the
-// client's disconnect may be ready together with the event that lets its send start.
+// Whether the client is still connected is checked at the last moment: when the process resumes after a stop,
+// the client's disconnect may be ready together with the event that lets its send start.
 void Engine::writeSend(EngineConnection& connection, Send& send) {
   if (!mayStart(*send.context) || !send.context->responder->isConnected()) {
     finishIfNotStarted(connection, send);
@@ -181,10 +181,10 @@
   restartSilenceTimer(send);
 }
 
-// Engines write status messages on every send at a set interval. When two in a row are missing for a send, its response
-// is lost or its engine is gone: it is abandoned then, rather than at its timeout, which may be as late as the client's.
-// Guards against responses that never come, come too late, or are read by nobody. Harms sends at an engine that is too
-// busy to write its status messages.
+// Engines write status messages on every send at a set interval. When two in a row are missing for a send,
+// its response is lost or its engine is gone: it is abandoned then, rather than at its timeout, which may be
+// as late as the client's. Guards against responses that never come, come too late, or are read by nobody.
+// Harms sends at an engine that is too busy to write its status messages.
 void Engine::restartSilenceTimer(Send& send) {
   if (settings_.statusInterval > 0)
     send.silenceTimer.set(scheduler_.now() + 2 * settings_.statusInterval + settings_.connectTimeout);
@@ -214,8 +214,8 @@
   });
 }
 
-// No command whose client has gone is started, wherever it is: in a mailbox, waiting for a connection or a handshake,
-// or behind bytes that the engine does not read.
+// No command whose client has gone is started, wherever it is: in a mailbox, waiting for a connection or a
+// handshake, or behind bytes that the engine does not read.
 void Engine::withdraw(std::shared_ptr<RequestContext> context) {
   mailbox_.post([this, context = std::move(context)] {
     if (auto [connection, send] = findSend(*context); send)
@@ -285,10 +285,10 @@
 }
 
 // --- connections
-// While there are enough connections, each send gets its own: closing the connection is the one sure way to abandon a
-// send, and it harms no other. Beyond that, sends share connections, except for commands with an ordering key: the next
-// command of the key is sent as soon as the client of this one has gone, and by then this one has to be abandoned for
-// certain (rule 5). None if the send has to wait.
+// While there are enough connections, each send gets its own: closing the connection is the one sure way to
+// abandon a send, and it harms no other. Beyond that, sends share connections, except for commands with an
+// ordering key: the next command of the key is sent as soon as the client of this one has gone, and by then
+// this one has to be abandoned for certain (rule 5). None if the send has to wait.
 Engine::EngineConnection* Engine::connectionFor(const RequestContext& context) {
   EngineConnection* unused = nullptr;
   EngineConnection* leastLoaded = nullptr;
@@ -298,7 +298,8 @@
       continue;
     ++open;
     size_t load = connection->sends.size() + connection->probes.size();
-    // On a connection where this id was abandoned before, the late response would be taken for the new send's.
+    // On a connection where this id was abandoned before, the late response would be taken for the new
+    // send's.
     if (connection->retired || connection->suspect || connection->droppedAt.contains(context.request.id))
       continue;
     if (load == 0 && connection->connected && !unused)
@@ -325,7 +326,8 @@
   return connectionQuota_.hasFreeSlot() ? &connect() : nullptr;
 }
 
-// Opens a connection. If the system is out of descriptors, another owner is asked once to close an idle connection.
+// Opens a connection. If the system is out of descriptors, another owner is asked once to close an idle
+// connection.
 Engine::EngineConnection& Engine::connect(bool mayEvict) {
   auto& connection = connections_.emplace_back();
   connection = std::make_unique<EngineConnection>(
@@ -355,8 +357,9 @@
   signal_.raise();
 }
 
-// Called when the engine has been silent for too long. Bytes written to a connection that is cut off are lost without
-// notice, whereas a new connection fails at once. So idle connections are closed, and the others are retired.
+// Called when the engine has been silent for too long. Bytes written to a connection that is cut off are lost
+// without notice, whereas a new connection fails at once. So idle connections are closed, and the others are
+// retired.
 void Engine::suspectConnections() {
   bool any = false;
   for (auto& connection : connections_) {
@@ -373,8 +376,8 @@
   signal_.raise();
 }
 
-// A connection with no send and no probe on it is kept for further sends. It is closed here before the engine would
-// close it as idle; otherwise a send could cross the engine's close.
+// A connection with no send and no probe on it is kept for further sends. It is closed here before the engine
+// would close it as idle; otherwise a send could cross the engine's close.
 void Engine::setIdleIfUnused(EngineConnection& connection) {
   if (!connection.sends.empty() || !connection.probes.empty() || !connection.connected ||
       !connection.stream.isOpen())
@@ -430,9 +433,10 @@
   updateResponseTimer(connection, responseCompleted);
 }
 
-// The rest of a response, and pages that the engine holds ready, come at once or never: after as long as a connect may
-// take, the connection is of no further use. Guards against responses that stop short or break off without a close.
-// Harms sends at an engine, or across a network, that stalls for that long in the middle of a response.
+// The rest of a response, and pages that the engine holds ready, come at once or never: after as long as a
+// connect may take, the connection is of no further use. Guards against responses that stop short or break
+// off without a close. Harms sends at an engine, or across a network, that stalls for that long in the middle
+// of a response.
 void Engine::updateResponseTimer(EngineConnection& connection, bool responseCompleted) {
   bool incomplete = !connection.parser.isBetweenResponses(connection.stream.input()) ||
                     std::ranges::any_of(connection.sends, [](auto& entry) {
@@ -501,8 +505,8 @@
   }
 }
 
-// Stores a page. The first one says how many there are: the others are requested then, and the send is finished once
-// all have arrived.
+// Stores a page. The first one says how many there are: the others are requested then, and the send is
+// finished once all have arrived.
 void Engine::handlePage(EngineConnection& connection, Send& send, EngineResponse& response) {
   bool first = response.kind == ResponseKind::answered;
   if (first ? send.pages.hasStarted() : send.pages.hasPage(response.pageNumber))
@@ -528,11 +532,12 @@
   finish(connection, send, Outcome::answered, response.usage, response.loadReport, std::move(rows));
 }
 
-// Called when a send has timed out, or was cancelled by the module. A send of which nothing has been transmitted never
-// ran. Any other is in flight until the engine has learned that it is abandoned, or until the connection is closed (an
-// engine that is cut off would keep it for all that time): only then may another send of the command, or the next
-// command of its ordering key, start. If the send is alone on its connection, the connection is closed. Otherwise the
-// engine is sent a drop request, and the outcome waits until something is received: the request has arrived by then.
+// Called when a send has timed out, or was cancelled by the module. A send of which nothing has been
+// transmitted never ran. Any other is in flight until the engine has learned that it is abandoned, or until
+// the connection is closed (an engine that is cut off would keep it for all that time): only then may another
+// send of the command, or the next command of its ordering key, start. If the send is alone on its
+// connection, the connection is closed. Otherwise the engine is sent a drop request, and the outcome waits
+// until something is received: the request has arrived by then.
 void Engine::abandon(EngineConnection& connection, Send& send, Outcome outcome) {
   if (send.abandonedAs)
     return finish(connection, send,
--- a/src/serve/engine.h
+++ b/src/serve/engine.h
@@ -1,5 +1,6 @@
-// One engine, and the actor that communicates with it. It owns the connections to the engine, the sends and probes that
-// are in flight on them, and the sends that wait for a connection. It reports every outcome to the dispatcher.
+// One engine, and the actor that communicates with it. It owns the connections to the engine, the sends and
+// probes that are in flight on them, and the sends that wait for a connection. It reports every outcome to
+// the dispatcher.
 #pragma once
 #include <list>
 #include <map>
@@ -20,8 +21,8 @@
 
 class Engine {
  public:
-  // `maxConnections`: how many connections are opened before sends share them. It depends on the number of engines, so
-  // it changes. `connectionQuota`: for the connections of all engines together.
+  // `maxConnections`: how many connections are opened before sends share them. It depends on the number of
+  // engines, so it changes. `connectionQuota`: for the connections of all engines together.
   Engine(Scheduler& scheduler, const ConnectionSettings& settings, Dispatcher& dispatcher, uint32_t id,
          const size_t& maxConnections, ConnectionQuota& connectionQuota);
   ~Engine() { connectionQuota_.removeWaiter(signal_); }
--- a/src/serve/listener.cpp
+++ b/src/serve/listener.cpp
@@ -13,17 +13,17 @@
 namespace elmcleat {
 namespace {
 
-// After SIGTERM new connections arrive for up to 0.4 s, and requests on open connections for 0.2 s more. A request
-// that arrives later than 0.7 s after SIGTERM need not be answered.
+// After SIGTERM new connections arrive for up to 0.4 s, and requests on open connections for 0.2 s more. A
+// request that arrives later than 0.7 s after SIGTERM need not be answered.
 constexpr double kAcceptWhileDrainingSeconds = 0.7;
 
-// A request that crosses our half-close within 50 ms is repeated by its client; clients get twice that to see the
-// half-close. Until then we still read, because a close with unread bytes would reset the connection, and the reset
-// could overtake the last response.
+// A request that crosses our half-close within 50 ms is repeated by its client; clients get twice that to see
+// the half-close. Until then we still read, because a close with unread bytes would reset the connection, and
+// the reset could overtake the last response.
 constexpr double kHalfCloseGraceSeconds = 0.1;
 
-// SIGKILL follows SIGTERM no sooner than kAcceptWhileDrainingSeconds plus the longest client timeout, of which at most
-// this much counts.
+// SIGKILL follows SIGTERM no sooner than kAcceptWhileDrainingSeconds plus the longest client timeout, of
+// which at most this much counts.
 constexpr double kMaxDrainTimeoutSeconds = 3;
 // All responses are sent this long before that.
 constexpr double kDrainMarginSeconds = 0.2;
@@ -37,8 +37,8 @@
 constexpr size_t kMaxShedConnections = 8;
 constexpr size_t kMinConnections = 16;
 
-// Served clients hold about a third of the descriptors in normal operation. A third, and those that we need ourselves,
-// are kept from all clients, so that a flood of connections leaves enough for the engines.
+// Served clients hold about a third of the descriptors in normal operation. A third, and those that we need
+// ourselves, are kept from all clients, so that a flood of connections leaves enough for the engines.
 size_t maxClientConnections(size_t descriptors) {
   size_t reserved = descriptors / 3 + kOwnDescriptors + kMaxShedConnections;
   return std::max(descriptors > reserved ? descriptors - reserved : 0, kMinConnections);
@@ -80,8 +80,8 @@
                     std::min(longestTimeout, kMaxDrainTimeoutSeconds) - kDrainMarginSeconds);
 }
 
-// Connections that were made in time wait in the accept queue, which is lost when the socket is closed: they are
-// accepted first.
+// Connections that were made in time wait in the accept queue, which is lost when the socket is closed: they
+// are accepted first.
 void Listener::close() {
   for (size_t i = 0; i < maxConnections_ && accept(); ++i) {
   }
@@ -108,8 +108,8 @@
         break;
     }
     co_await signal_;
-    // Open connections are read before new ones are accepted: a command on a new connection may have arrived after
-    // theirs, and commands with the same ordering key are submitted in order of arrival.
+    // Open connections are read before new ones are accepted: a command on a new connection may have arrived
+    // after theirs, and commands with the same ordering key are submitted in order of arrival.
     co_await signal_.afterOthers();
   }
 }
@@ -143,8 +143,8 @@
   connection->start();
 }
 
-// Order of eviction: first connections that have been sent their last response, then those that have not sent a whole
-// request yet, then the one that has been idle for longest.
+// Order of eviction: first connections that have been sent their last response, then those that have not sent
+// a whole request yet, then the one that has been idle for longest.
 bool Listener::evictIdle() {
   std::vector<ClientConnection*> idle;
   for (auto& [connection, owner] : connections_)
@@ -163,8 +163,8 @@
   stopIfDrained();
 }
 
-// After the listening socket is closed: stops the scheduler at once if no connection is left, or after the grace
-// period if the remaining ones have no pending response.
+// After the listening socket is closed: stops the scheduler at once if no connection is left, or after the
+// grace period if the remaining ones have no pending response.
 void Listener::stopIfDrained() {
   if (!closed_)
     return;
--- a/src/serve/listener.h
+++ b/src/serve/listener.h
@@ -1,6 +1,6 @@
-// The listening socket for clients, and the actor that accepts their connections and owns them. It limits how many
-// connections there are, sheds load when that limit is reached, evicts idle connections when descriptors run out, and
-// carries out the graceful shutdown.
+// The listening socket for clients, and the actor that accepts their connections and owns them. It limits how
+// many connections there are, sheds load when that limit is reached, evicts idle connections when descriptors
+// run out, and carries out the graceful shutdown.
 #pragma once
 #include <memory>
 #include <unordered_map>
@@ -20,8 +20,9 @@
   // Closes the idle connection that is least likely to send a request; false if there is none.
   bool evictIdle();
 
-  // Graceful shutdown: goes on accepting and serving for as long as new connections may arrive, then stops the scheduler
-  // once every request is answered and every idle client has been sent a half-close. Further calls have no effect.
+  // Graceful shutdown: goes on accepting and serving for as long as new connections may arrive, then stops
+  // the scheduler once every request is answered and every idle client has been sent a half-close. Further
+  // calls have no effect.
   void drain();
 
  private:
--- a/src/serve/outcome.h
+++ b/src/serve/outcome.h
@@ -1,4 +1,5 @@
-// Maps the end of a connection, or an engine's response, to the outcome of a send or probe that the module is given.
+// Maps the end of a connection, or an engine's response, to the outcome of a send or probe that the module is
+// given.
 #pragma once
 #include "policy.h"
 #include "protocol/engine_protocol.h"
--- a/src/serve/request_context.h
+++ b/src/serve/request_context.h
@@ -1,5 +1,5 @@
-// The context of a request on its way through the gateway: the parsed command, the responder that waits for the
-// response, and the module's handle. Client connection, dispatcher and engine share it.
+// The context of a request on its way through the gateway: the parsed command, the responder that waits for
+// the response, and the module's handle. Client connection, dispatcher and engine share it.
 #pragma once
 #include <cmath>
 #include <cstdint>
@@ -28,9 +28,10 @@
   double clientDeadline =
       0;  // when the client gives up: the time that it stated, from when the request was read
 
-  // Seconds before clientDeadline by which an attempt is abandoned, because its response would come too late. The client
-  // counts from when it sent the request, and the response has to reach it: the protocol allows 50 ms for network and
-  // clocks, and 10 ms are for our own turn. Clients were seen to leave up to 56 ms before the deadline that they stated.
+  // Seconds before clientDeadline by which an attempt is abandoned, because its response would come too late.
+  // The client counts from when it sent the request, and the response has to reach it: the protocol allows 50
+  // ms for network and clocks, and 10 ms are for our own turn. Clients were seen to leave up to 56 ms before
+  // the deadline that they stated.
   static constexpr double kResponseMargin = 0.06;
   double responseDeadline() const { return clientDeadline - kResponseMargin; }
 };
@@ -57,8 +58,8 @@
   bool sendInFlight = false;        // a send has no outcome yet
   bool finished = false;            // answered or withdrawn
 
-  // Whether a client still waits for the response. False from the moment at which its disconnect is seen, which is
-  // before the module is informed.
+  // Whether a client still waits for the response. False from the moment at which its disconnect is seen,
+  // which is before the module is informed.
   bool isAwaited() const { return responder != nullptr; }
 };
 
--- a/src/serve/request_parser.cpp
+++ b/src/serve/request_parser.cpp
@@ -25,8 +25,8 @@
   });
 }
 
-// Values beyond these limits can't be real estimates or times: the module would compute with them, and engines could not
-// use them.
+// Values beyond these limits can't be real estimates or times: the module would compute with them, and
+// engines could not use them.
 constexpr double kMaxWaitMs = 86'400e3;   // a day
 constexpr double kMaxWorkMs = 86'400e3;   // a day
 constexpr double kMaxMemoryMb = 10e6;     // where no engine kind is configured
@@ -63,7 +63,8 @@
   if (!waitHeader || !readAmount(*waitHeader, kMaxWaitMs, waitMs))
     return refuse(400, "Req-Wait-Ms must be a time in milliseconds");
   command.clientDeadline = receivedAt + waitMs / 1e3;
-  // Without a list of tenants all commands belong to one: a queue for each name that clients send would be unbounded.
+  // Without a list of tenants all commands belong to one: a queue for each name that clients send would be
+  // unbounded.
   if (auto* tenant = request.header("req-owner"); tenant && !settings.tenants.empty())
     command.tenant = *tenant;
   bool known = std::ranges::find(settings.tenants, command.tenant, &Tenant::name) != settings.tenants.end();
--- a/src/serve/request_parser.h
+++ b/src/serve/request_parser.h
@@ -15,8 +15,8 @@
   int status = 0;
   std::string error;
 };
-// `receivedAt`: when the request's first byte was read. `actorHeader`: the header that names users below the tenant,
-// separated by /; empty if there is none.
+// `receivedAt`: when the request's first byte was read. `actorHeader`: the header that names users below the
+// tenant, separated by /; empty if there is none.
 ParsedRequest parseCommandRequest(HttpRequest&& request, const Settings& settings, double receivedAt,
                                   const std::string& actorHeader = "");
 
--- a/src/serve/response.h
+++ b/src/serve/response.h
@@ -16,8 +16,8 @@
   double retryAfter = 0;  // seconds, with `shed`; 0: no advice
 };
 
-// Collects the pages of one result. The result is passed on only when it is complete: until then another send can
-// replace a lost page, and the client never sees a partial result.
+// Collects the pages of one result. The result is passed on only when it is complete: until then another send
+// can replace a lost page, and the client never sees a partial result.
 class ResultAssembler {
  public:
   static constexpr size_t kMaxResultBytes = 48'000;  // of all pages together
--- a/tests/moments_test.cpp
+++ b/tests/moments_test.cpp
@@ -1,5 +1,6 @@
-// Race conditions, reproduced in every run: the gateway is stopped (SIGSTOP), the events that have to coincide are put
-// into the kernel's buffers, and it is continued; a stub engine completes a TCP handshake only when told to.
+// Race conditions, reproduced in every run: the gateway is stopped (SIGSTOP), the events that have to
+// coincide are put into the kernel's buffers, and it is continued; a stub engine completes a TCP handshake
+// only when told to.
 #include "service.h"
 
 namespace {
@@ -45,7 +46,8 @@
 }  // namespace
 
 TEST_CASE("a command whose client has disconnected is not sent when its connection is established") {
-  // Together: the gateway sees the disconnect and the completed handshake in one turn; otherwise the disconnect first.
+  // Together: the gateway sees the disconnect and the completed handshake in one turn; otherwise the
+  // disconnect first.
   for (bool together : {false, true}) {
     EngineWithFullBacklog engineWithFullBacklog;
     EngineStubs engines(1);
--- a/tests/service.h
+++ b/tests/service.h
@@ -1,5 +1,5 @@
-// Fixtures for tests that start the gateway as a process and communicate with it over sockets: stubs for engines and the
-// change log, the gateway process, and clients. Every wait is bounded.
+// Fixtures for tests that start the gateway as a process and communicate with it over sockets: stubs for
+// engines and the change log, the gateway process, and clients. Every wait is bounded.
 #pragma once
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
@@ -243,8 +243,8 @@
   std::list<std::pair<int, std::unique_ptr<StubConnection>>> peers_;
 };
 
-// Any number of engines that respond at once to everything sent to them, served by a thread. One listener on all loopback
-// addresses stands for all of them; an engine is known by its address.
+// Any number of engines that respond at once to everything sent to them, served by a thread. One listener on
+// all loopback addresses stands for all of them; an engine is known by its address.
 class EngineStubFarm {
  public:
   struct Sent {
@@ -401,7 +401,8 @@
   return bytes;
 }
 
-// The gateway as a process, with its change log and its configuration, which a test may change before start().
+// The gateway as a process, with its change log and its configuration, which a test may change before
+// start().
 class GatewayProcess {
  public:
   explicit GatewayProcess(EngineStubs& engines, size_t count, size_t sockets = 1024)
@@ -459,7 +460,8 @@
   void own(const std::string& text) const { std::ofstream(folder_ + "/gateway.json") << text; }
   // Writes the platform's configuration.
   void writeConfig(const std::string& text) { std::ofstream(folder_ + "/config.json") << text; }
-  // `descriptors`: limit of open descriptors; 0: the test's own. `log`: descriptor for the log; below 0: a file.
+  // `descriptors`: limit of open descriptors; 0: the test's own. `log`: descriptor for the log; below 0: a
+  // file.
   void start(rlim_t descriptors = 0, int log = -1) {
     char name[] = "/tmp/elmcleat-test-XXXXXX";
     if (folder_.empty())
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,4 +1,5 @@
-// The gateway from outside: started as a process and used over sockets, with stubs for engines and the change log.
+// The gateway from outside: started as a process and used over sockets, with stubs for engines and the change
+// log.
 #include "service.h"
 
 TEST_CASE("a command is sent to an engine unchanged, and its pages are returned as one response") {
@@ -221,7 +222,8 @@
   CHECK_EQ(answer(*client), kServed);
   client->write(post(2, "quick", 6000, "X-User: ann//desk\r\n"));
   CHECK_EQ(answer(*client).substr(0, 3), "400");
-  // A node whose ceiling is 0 gets no sends; its commands are shed with a Retry-After before the client timeout.
+  // A node whose ceiling is 0 gets no sends; its commands are shed with a Retry-After before the client
+  // timeout.
   client->write(post(3, "quick", 800, "X-User: shut\r\n"));
   std::string head = client->until("\r\n\r\n");
   CHECK_EQ(head.substr(9, 3), "503");
@@ -278,7 +280,8 @@
 }
 
 TEST_CASE("a send that times out is abandoned by closing its connection before another send starts") {
-  // An engine that is cut off never receives DROP: with DROP alone there would be two sends in flight at once.
+  // An engine that is cut off never receives DROP: with DROP alone there would be two sends in flight at
+  // once.
   ServiceFixture fixture;
   auto client = fixture.service.client(), other = fixture.service.client();
   client->write(post(1));
