--- a/tests/null_action_sink.h
+++ b/tests/null_action_sink.h
@@ -1,4 +1,4 @@
-// An outlet for tests that look at sends alone: all else that a module wants is passed over.
+// An ActionSink for tests that only look at sends: all other actions are ignored.
 #pragma once
 #include <string>
 
--- a/tests/shared_test.cpp
+++ b/tests/shared_test.cpp
@@ -1,5 +1,6 @@
-// Fleet-wide amounts: whatever happens, what all may use together never exceeds them; and what there is gets to where it
-// is wanted. ELMCLEAT_SEED=n plays one seed of the random faults, ELMCLEAT_SEEDS=n so many.
+// Leases of fleet-wide quotas: under any faults the members together never use more than a quota, and unused
+// parts move to the members with demand. ELMCLEAT_SEED=n runs one seed of the random faults, ELMCLEAT_SEEDS=n
+// the first n.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -14,23 +15,23 @@
 
 namespace {
 
-LeaseSettings terms(int members, std::vector<double> amounts = {100}) {
-  LeaseSettings terms;
-  terms.memberCount = members;
-  terms.quotas = std::move(amounts);
-  return terms;
+LeaseSettings leaseSettings(int members, std::vector<double> quotas = {100}) {
+  LeaseSettings leaseSettings;
+  leaseSettings.memberCount = members;
+  leaseSettings.quotas = std::move(quotas);
+  return leaseSettings;
 }
-const double kOver = 2 + 4 * 0.1;  // seconds: a loan and its guards
+const double kLeaseEnd = 2 + 4 * 0.1;  // seconds after which a lease and its guard times have passed
 
-LeaseMessage letter(LeaseMessage::Kind kind, int from, int to, uint64_t life, uint64_t number,
-                    double units = 0) {
-  return {kind, from, to, life, number, {{0, units, 0}}};
+LeaseMessage leaseMessage(LeaseMessage::Kind kind, int from, int to, uint64_t instance, uint64_t number,
+                          double units = 0) {
+  return {kind, from, to, instance, number, {{0, units, 0}}};
 }
 
 }  // namespace
 
-TEST_CASE("what moves to a tenth of the members is usable there within 2 s, and again by all later") {
-  LeaseSimulation fleet(terms(100, {100, 30}), 3);
+TEST_CASE("a quota moves to a tenth of the members within 2 s, and back to all members later") {
+  LeaseSimulation fleet(leaseSettings(100, {100, 30}), 3);
   for (int i = 0; i < 100; ++i) {
     fleet.setDemand(i, 0, 0.9);
     fleet.setDemand(i, 1, 0.2);
@@ -42,34 +43,34 @@
     fleet.setDemand(i, 1, i >= 90 ? 6 : 0);
   }
   fleet.run(12);
-  CHECK_GT(fleet.used(0), 97);  // all but what the others keep
+  CHECK_GT(fleet.used(0), 97);  // all but the reserves of the others
   CHECK_GT(fleet.used(1), 0.97 * 30);
   for (int i = 0; i < 100; ++i)
     fleet.setDemand(i, 0, 0.9);
-  fleet.run(12 + kOver + 0.5);
+  fleet.run(12 + kLeaseEnd + 0.5);
   CHECK_GT(fleet.used(0), 88);
   CHECK_EQ(fleet.violation(), "");
 }
 
-TEST_CASE("with a third cut off the rest uses its own parts; those apart use theirs") {
-  LeaseSimulation fleet(terms(90), 5);
+TEST_CASE("with a third of the members partitioned, both sides keep using their own parts") {
+  LeaseSimulation fleet(leaseSettings(90), 5);
   fleet.run(5);
   fleet.partition(0, 30, true);
   for (int i = 0; i < 90; ++i)
     fleet.setDemand(i, 0, i >= 30 && i < 39 ? 20 : 0);
-  fleet.run(8 + kOver);
+  fleet.run(8 + kLeaseEnd);
   CHECK_GT(fleet.used(0), 60);
   CHECK_EQ(fleet.violation(), "");
 }
 
-TEST_CASE("a borrower that was stopped past the end of its loan has not one unit of it when it goes on") {
-  LeaseSimulation fleet(terms(4), 7);
+TEST_CASE("a borrower that was suspended past the expiry of its lease uses no unit of it when it resumes") {
+  LeaseSimulation fleet(leaseSettings(4), 7);
   fleet.setDemand(0, 0, 90);
   fleet.run(6);
   REQUIRE_GT(fleet.available(0, 0), 90);
   fleet.pause(0, true);
-  fleet.run(6 + kOver);
-  CHECK_LE(fleet.available(0, 0), 25);  // by its own clock, before it has done anything
+  fleet.run(6 + kLeaseEnd);
+  CHECK_LE(fleet.available(0, 0), 25);  // by its own clock, before its first tick
   fleet.pause(0, false);
   CHECK_LE(fleet.available(0, 0), 25);
   fleet.run(12);
@@ -77,8 +78,8 @@
   CHECK_EQ(fleet.violation(), "");
 }
 
-TEST_CASE("a lender that starts anew uses what it keeps alone until what it may have lent is over") {
-  LeaseSimulation fleet(terms(4), 9);
+TEST_CASE("a restarted lender uses only its reserve until the leases it may have granted have expired") {
+  LeaseSimulation fleet(leaseSettings(4), 9);
   fleet.setDemand(0, 0, 90);
   fleet.run(6);
   for (int i = 1; i < 4; ++i) {
@@ -88,45 +89,49 @@
     CHECK_LE(fleet.available(i, 0), 25 * 0.02 + 1e-9);
   }
   fleet.run(6.5);
-  CHECK_GT(fleet.available(0, 0), 70);  // its loans hold for now, though nobody remembers them
-  fleet.run(6 + kOver + 1);
+  CHECK_GT(fleet.available(0, 0), 70);  // its leases are valid although the lenders have forgotten them
+  fleet.run(6 + kLeaseEnd + 1);
   for (int i = 1; i < 4; ++i)
     CHECK_GT(fleet.available(i, 0), 24);
   CHECK_EQ(fleet.violation(), "");
 }
 
-TEST_CASE("letters of an earlier life, copies, late answers and nonsense move nothing") {
-  LeaseManager one(terms(3, {90}), 0, 5, 1, 0);
-  one.setDemand(0, 60);
-  one.tick(3);
-  auto asks = one.takeOutgoing();
-  REQUIRE_EQ(asks.size(), 2);
-  int lender = asks[0].to;
-  double own = one.available(0, 3);
+TEST_CASE("messages of an earlier instance, duplicates, late answers and invalid messages have no effect") {
+  LeaseManager manager(leaseSettings(3, {90}), 0, 5, 1, 0);
+  manager.setDemand(0, 60);
+  manager.tick(3);
+  auto requests = manager.takeOutgoing();
+  REQUIRE_EQ(requests.size(), 2);
+  int lender = requests[0].to;
+  double own = manager.available(0, 3);
   CHECK_EQ(own, 30);
-  one.receive(3.1,
-              letter(LeaseMessage::Kind::grant, lender, 0, 4, asks[0].requestNumber, 20));  // another life's
-  one.receive(3.1,
-              letter(LeaseMessage::Kind::grant, lender, 0, 5, asks[0].requestNumber + 7, 20));  // never asked
-  one.receive(3.1, letter(LeaseMessage::Kind::grant, 0, 0, 5, asks[0].requestNumber, 20));      // from itself
-  one.receive(3.1, letter(LeaseMessage::Kind::grant, 7, 0, 5, asks[0].requestNumber, 20));      // nobody
-  LeaseMessage odd = letter(LeaseMessage::Kind::grant, lender, 0, 5, asks[0].requestNumber, -3);
-  one.receive(3.1, odd);
-  odd.items = {{9, 1, 0}};
-  one.receive(3.1, odd);
-  CHECK_EQ(one.rejectedMessages(), 6);
-  CHECK_EQ(one.available(0, 3.1), own);
-  one.receive(3.2, letter(LeaseMessage::Kind::grant, lender, 0, 5, asks[0].requestNumber,
-                          1000));  // no more than a member has
-  CHECK_EQ(one.available(0, 3.2), own + 30);
-  one.receive(3.3, letter(LeaseMessage::Kind::grant, lender, 0, 5, asks[0].requestNumber, 10));  // a copy
-  CHECK_EQ(one.available(0, 3.3), own + 30);
-  CHECK_EQ(one.available(0, 3 + 2 - 0.1), own);  // counted from the ask
-  CHECK_EQ(one.availableQuota(0, 3.3).availableAt(3 + 2 - 0.1), own);
+  manager.receive(3.1, leaseMessage(LeaseMessage::Kind::grant, lender, 0, 4, requests[0].requestNumber,
+                                    20));  // of another instance
+  manager.receive(3.1, leaseMessage(LeaseMessage::Kind::grant, lender, 0, 5, requests[0].requestNumber + 7,
+                                    20));  // not requested
+  manager.receive(
+      3.1, leaseMessage(LeaseMessage::Kind::grant, 0, 0, 5, requests[0].requestNumber, 20));  // from itself
+  manager.receive(
+      3.1, leaseMessage(LeaseMessage::Kind::grant, 7, 0, 5, requests[0].requestNumber, 20));  // no member
+  LeaseMessage invalid = leaseMessage(LeaseMessage::Kind::grant, lender, 0, 5, requests[0].requestNumber, -3);
+  manager.receive(3.1, invalid);
+  invalid.items = {{9, 1, 0}};
+  manager.receive(3.1, invalid);
+  CHECK_EQ(manager.rejectedMessages(), 6);
+  CHECK_EQ(manager.available(0, 3.1), own);
+  manager.receive(3.2, leaseMessage(LeaseMessage::Kind::grant, lender, 0, 5, requests[0].requestNumber,
+                                    1000));  // no more than a member owns
+  CHECK_EQ(manager.available(0, 3.2), own + 30);
+  manager.receive(3.3, leaseMessage(LeaseMessage::Kind::grant, lender, 0, 5, requests[0].requestNumber,
+                                    10));  // a duplicate
+  CHECK_EQ(manager.available(0, 3.3), own + 30);
+  CHECK_EQ(manager.available(0, 3 + 2 - 0.1), own);  // counted from the request
+  CHECK_EQ(manager.availableQuota(0, 3.3).availableAt(3 + 2 - 0.1), own);
 }
 
 TEST_CASE(
-    "letters as bytes: by name and amount; what differs between two files is left out, garbage is none") {
+    "encoding goes by name and total: quotas that differ between two members are left out, garbage is "
+    "rejected") {
   LeaseCodec here({"a#guarantee", "b#ceiling", "c#ceiling"}, {10, 20, 30});
   LeaseCodec there({"c#ceiling", "a#guarantee", "b#ceiling"}, {30, 10, 21});
   LeaseMessage sent{LeaseMessage::Kind::grant, 1, 2, 7, 9, {{0, 1.5, 0.25}, {1, 2, 0}, {2, 3, 0}}};
@@ -135,53 +140,54 @@
   REQUIRE(read);
   CHECK((read->kind == sent.kind && read->from == 1 && read->to == 2 && read->instance == 7 &&
          read->requestNumber == 9));
-  REQUIRE_EQ(read->items.size(), 2);  // b is another amount there
+  REQUIRE_EQ(read->items.size(), 2);  // b has another total there
   CHECK((read->items[0].quota == 1 && read->items[0].units == 1.5 && read->items[0].lendable == 0.25));
   CHECK((read->items[1].quota == 0 && read->items[1].units == 3));
-  CHECK_FALSE(there.decode("\x08\x07", 1, 2));  // a kind that is none
+  CHECK_FALSE(there.decode("\x08\x07", 1, 2));  // an unknown kind
   CHECK_FALSE(there.decode("garbage", 1, 2));
 }
 
-TEST_CASE("terms: what no loan could hold by is told") {
-  LeaseSettings bad = terms(0, {1, 0});
+TEST_CASE("invalid lease settings are reported") {
+  LeaseSettings bad = leaseSettings(0, {1, 0});
   bad.guardTime = 1;
   bad.reservedShare = 2;
-  auto flaws = validate(bad);
-  CHECK_EQ(flaws.size(), 4);
-  CHECK(validate(terms(3)).empty());
+  auto errors = validate(bad);
+  CHECK_EQ(errors.size(), 4);
+  CHECK(validate(leaseSettings(3)).empty());
 }
 
-TEST_CASE("random faults: never over the amount, at any step; and all of it is usable again afterwards") {
+TEST_CASE(
+    "random faults: the quota is never exceeded at any step, and all of it is usable again afterwards") {
   auto [first, last] = seedsToPlay();
   for (int seed = first; seed <= last; ++seed) {
     CAPTURE(seed);
-    Pcg32 chance{uint64_t(seed)};
-    int count = 2 + int(chance.next() % 24);
-    LeaseSimulation fleet(terms(count, {100, 7}), uint64_t(seed), 0.02);
-    fleet.loss = chance.uniformBetween(0, 0.3);
-    fleet.duplication = chance.uniformBetween(0, 0.3);
-    fleet.lateShare = chance.uniformBetween(0, 0.5);
-    fleet.lateDelay = chance.uniformBetween(0, 6);
-    auto any = [&] { return int(chance.next() % uint32_t(count)); };
+    Pcg32 random{uint64_t(seed)};
+    int count = 2 + int(random.next() % 24);
+    LeaseSimulation fleet(leaseSettings(count, {100, 7}), uint64_t(seed), 0.02);
+    fleet.loss = random.uniformBetween(0, 0.3);
+    fleet.duplication = random.uniformBetween(0, 0.3);
+    fleet.lateShare = random.uniformBetween(0, 0.5);
+    fleet.lateDelay = random.uniformBetween(0, 6);
+    auto anyMember = [&] { return int(random.next() % uint32_t(count)); };
     for (int step = 0; step < 60; ++step) {
-      fleet.run(fleet.now() + chance.uniformBetween(0.01, 1));
-      int who = any();
-      switch (chance.next() % 6) {
+      fleet.run(fleet.now() + random.uniformBetween(0.01, 1));
+      int member = anyMember();
+      switch (random.next() % 6) {
         case 0:
-          fleet.kill(who);
+          fleet.kill(member);
           break;
         case 1:
-          fleet.kill(who);
-          fleet.start(who);
+          fleet.kill(member);
+          fleet.start(member);
           break;
         case 2:
-          fleet.pause(who, chance.next() % 2);
+          fleet.pause(member, random.next() % 2);
           break;
         case 3:
-          fleet.cut(who, any(), chance.next() % 2);
+          fleet.cut(member, anyMember(), random.next() % 2);
           break;
         default:
-          fleet.setDemand(who, chance.next() % 2, chance.next() % 3 ? chance.uniformBetween(0, 60) : 0);
+          fleet.setDemand(member, random.next() % 2, random.next() % 3 ? random.uniformBetween(0, 60) : 0);
       }
     }
     REQUIRE_EQ(fleet.violation(), "");
@@ -195,7 +201,7 @@
         fleet.cut(a, b, false);
     }
     fleet.loss = fleet.duplication = fleet.lateShare = 0;
-    fleet.run(fleet.now() + 2 * kOver + 6);
+    fleet.run(fleet.now() + 2 * kLeaseEnd + 6);
     CHECK_GT(fleet.used(0), 96);
     CHECK_GT(fleet.used(1), 0.96 * 7);
     REQUIRE_EQ(fleet.violation(), "");
--- a/tests/subset_fixture.h
+++ b/tests/subset_fixture.h
@@ -1,6 +1,6 @@
-// What the tests of the view share: a fleet's settings and engines, a dispatcher that keeps what its view
-// tells, and a model of what it should have told, worked out anew by sorting all dispatchers before each
-// engine.
+// Fixture of the engine subset's tests: settings and engines of a fleet, a harness that keeps what its subset
+// reports, and a reference model of what it must report, computed by sorting all dispatchers by weight for
+// each engine.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -16,48 +16,48 @@
 using namespace elmcleat;
 using namespace elmcleat::view;
 
-constexpr double kBegin = 1e9, kColdTime = 10;
-constexpr EngineState kIn = EngineState::inService, kDraining = EngineState::draining,
-                      kGone = EngineState::removed;
+constexpr double kStartTime = 1e9, kColdDuration = 10;
+constexpr EngineState kInService = EngineState::inService, kDraining = EngineState::draining,
+                      kRemoved = EngineState::removed;
 
-inline Settings settingsOf(int dispatchers, int ordinal) {
-  Settings set;
-  set.gatewayCount = dispatchers;
-  set.ordinal = ordinal;
-  set.coldDuration = kColdTime;
-  set.profiles.resize(4);
-  set.profiles[0].name = "any";
-  set.profiles[1].name = "east";
-  set.profiles[2].name = "large";
-  set.profiles[1].allowedZones = {"e"};
-  set.profiles[2].allowedKinds = {"xxl", "xl"};
-  set.profiles[3].name = "large too";
-  set.profiles[3].allowedKinds = {"xl", "xxl"};
-  set.tenants = {{"north", 1, 100}};
-  return set;
+inline Settings makeSettings(int dispatchers, int ordinal) {
+  Settings settings;
+  settings.gatewayCount = dispatchers;
+  settings.ordinal = ordinal;
+  settings.coldDuration = kColdDuration;
+  settings.profiles.resize(4);
+  settings.profiles[0].name = "any";
+  settings.profiles[1].name = "east";
+  settings.profiles[2].name = "large";
+  settings.profiles[1].allowedZones = {"e"};
+  settings.profiles[2].allowedKinds = {"xxl", "xl"};
+  settings.profiles[3].name = "large too";
+  settings.profiles[3].allowedKinds = {"xl", "xxl"};
+  settings.tenants = {{"north", 1, 100}};
+  return settings;
 }
-constexpr int kClasses = 3;  // the fourth profile is of the third's
-inline bool serves(int which, const ListedEngine& engine) {
-  return which == 0 || (which == 1 ? engine.record.zone == "e" : engine.record.kind == "xl");
+constexpr int kClasses = 3;  // the fourth profile has the class of the third
+inline bool serves(int classIndex, const ListedEngine& engine) {
+  return classIndex == 0 || (classIndex == 1 ? engine.record.zone == "e" : engine.record.kind == "xl");
 }
 
-inline ListedEngine engineOf(uint32_t id, bool east, bool large, int64_t startedAtUnixMs = 0) {
-  ListedEngine one;
-  one.record.id = id;
-  one.record.zone = east ? "e" : "w";
-  one.record.kind = large ? "xl" : "std";
-  one.address = {0x0a000000 + id, 4200};
-  one.startedAtUnixMs = startedAtUnixMs;
-  return one;
+inline ListedEngine makeEngine(uint32_t id, bool east, bool large, int64_t startedAtUnixMs = 0) {
+  ListedEngine engine;
+  engine.record.id = id;
+  engine.record.zone = east ? "e" : "w";
+  engine.record.kind = large ? "xl" : "std";
+  engine.address = {0x0a000000 + id, 4200};
+  engine.startedAtUnixMs = startedAtUnixMs;
+  return engine;
 }
-inline std::vector<ListedEngine> enginesOf(uint32_t count) {  // a quarter east, an eighth large
-  std::vector<ListedEngine> rows;
+inline std::vector<ListedEngine> makeEngines(uint32_t count) {  // a quarter in the east, an eighth large
+  std::vector<ListedEngine> listedEngines;
   for (uint32_t id = 1; id <= count; ++id)
-    rows.push_back(engineOf(id, id % 4 == 0, id % 8 == 1));
-  return rows;
+    listedEngines.push_back(makeEngine(id, id % 4 == 0, id % 8 == 1));
+  return listedEngines;
 }
 
-inline int placeBySorting(uint32_t id, int ordinal, int dispatchers) {
+inline int rankBySorting(uint32_t id, int ordinal, int dispatchers) {
   std::vector<std::pair<uint64_t, int>> order;
   for (int i = 0; i < dispatchers; ++i)
     order.push_back({~rendezvousWeight(id, uint32_t(i)), i});
@@ -66,151 +66,157 @@
 }
 
 struct SubsetHarness {
-  EngineSubset view;
-  std::map<uint32_t, ListedEngine> engines = {};  // in view, as told
-  uint64_t told = 0;
-  SubsetHarness(const SubsetSettings& plan, int dispatchers, int ordinal)
-      : view(plan, settingsOf(dispatchers, ordinal)) {}
+  EngineSubset subset;
+  std::map<uint32_t, ListedEngine> engines = {};  // in the subset, as reported
+  uint64_t reported = 0;
+  SubsetHarness(const SubsetSettings& subsetSettings, int dispatchers, int ordinal)
+      : subset(subsetSettings, makeSettings(dispatchers, ordinal)) {}
 
-  void take(const std::vector<ListedEngine>& changes) {
-    told += changes.size();
+  void applyChanges(const std::vector<ListedEngine>& changes) {
+    reported += changes.size();
     for (auto& change : changes) {
       uint32_t id = change.record.id;
-      if (change.record.state != kGone)
+      if (change.record.state != kRemoved)
         engines.insert_or_assign(id, change);
       else if (engines.erase(id) == 0)
-        throw std::logic_error("told as gone, and never told before");
+        throw std::logic_error("reported as removed but never reported before");
     }
   }
-  void whole(const std::vector<ListedEngine>& rows, double now = kBegin) {
-    take(view.apply({1, true, rows}, now));
+  void applyFullList(const std::vector<ListedEngine>& listedEngines, double now = kStartTime) {
+    applyChanges(subset.apply({1, true, listedEngines}, now));
   }
-  void changes(const std::vector<ListedEngine>& rows, double now = kBegin) {
-    take(view.apply({1, false, rows}, now));
+  void applyDelta(const std::vector<ListedEngine>& listedEngines, double now = kStartTime) {
+    applyChanges(subset.apply({1, false, listedEngines}, now));
   }
-  // All that comes by itself until then; `after` looks at each step.
+  // Ticks at each wake-up until `end`; calls `after` with the time of each step.
   template <class After>
-  void until(double end, After&& after) {
-    for (int steps = 0; view.nextWakeUp() <= end; ++steps) {
+  void runUntil(double end, After&& after) {
+    for (int steps = 0; subset.nextWakeUp() <= end; ++steps) {
       if (steps > 2000)
-        throw std::logic_error("wakes without an end");
-      double now = view.nextWakeUp();
-      take(view.tick(now));
+        throw std::logic_error("wake-ups without end");
+      double now = subset.nextWakeUp();
+      applyChanges(subset.tick(now));
       after(now);
     }
-    take(view.tick(end));
+    applyChanges(subset.tick(end));
     after(end);
   }
   std::set<uint32_t> inService() const {
     std::set<uint32_t> ids;
     for (auto& [id, change] : engines)
-      if (change.record.state == kIn)
+      if (change.record.state == kInService)
         ids.insert(id);
     return ids;
   }
 };
 
-// What one dispatcher has been told and found, and what must be true then.
-struct Model {
-  SubsetSettings plan;
+// The list and ejections that one dispatcher has seen, and what its subset must be then.
+struct ReferenceModel {
+  SubsetSettings subsetSettings;
   int dispatchers, ordinal;
-  std::map<uint32_t, ListedEngine> list = {}, latest = {};  // the latter with those that have gone
-  std::set<uint32_t> unfit = {};
-  std::map<uint32_t, int> places = {};
+  std::map<uint32_t, ListedEngine> listed = {}, known = {};  // `known` includes removed engines
+  std::set<uint32_t> ejected = {};
+  std::map<uint32_t, int> ranks = {};
 
-  void put(const ListedEngine& row) {  // or take away; who starts anew is fit
-    auto [at, fresh] = latest.try_emplace(row.record.id, row);
-    if (at->second.startedAtUnixMs != row.startedAtUnixMs || at->second.address != row.address)
-      unfit.erase(row.record.id);
-    at->second = row;
-    row.record.state == kGone ? void(list.erase(row.record.id))
-                              : void(list.insert_or_assign(row.record.id, row));
+  void update(const ListedEngine& engine) {  // or removes it; a restarted engine is not ejected
+    auto [entry, inserted] = known.try_emplace(engine.record.id, engine);
+    if (entry->second.startedAtUnixMs != engine.startedAtUnixMs || entry->second.address != engine.address)
+      ejected.erase(engine.record.id);
+    entry->second = engine;
+    engine.record.state == kRemoved ? void(listed.erase(engine.record.id))
+                                    : void(listed.insert_or_assign(engine.record.id, engine));
   }
-  int base() const { return std::min(plan.usersPerEngine, dispatchers); }
-  int placeOf(uint32_t id) {
-    auto [at, fresh] = places.try_emplace(id, 0);
-    if (fresh)
-      at->second = placeBySorting(id, ordinal, dispatchers);
-    return at->second;
+  int baseDepth() const { return std::min(subsetSettings.usersPerEngine, dispatchers); }
+  int rankOf(uint32_t id) {
+    auto [entry, inserted] = ranks.try_emplace(id, 0);
+    if (inserted)
+      entry->second = rankBySorting(id, ordinal, dispatchers);
+    return entry->second;
   }
-  static bool cold(const ListedEngine& one, double now) {
-    return one.startedAtUnixMs > 0 && now < double(one.startedAtUnixMs) / 1000 + kColdTime;
+  static bool isCold(const ListedEngine& engine, double now) {
+    return engine.startedAtUnixMs > 0 && now < double(engine.startedAtUnixMs) / 1000 + kColdDuration;
   }
-  int countOf(int which) const {
-    return int(std::ranges::count_if(
-        list, [&](auto& one) { return one.second.record.state == kIn && serves(which, one.second); }));
+  int listedCount(int classIndex) const {
+    return int(std::ranges::count_if(listed, [&](auto& engine) {
+      return engine.second.record.state == kInService && serves(classIndex, engine.second);
+    }));
   }
-  int boundOf(int which) const {
-    int count = countOf(which), wide = 1;
-    while (count > 0 && wide * count < 2 * dispatchers * plan.minEnginesPerClass)
-      wide *= 2;
-    return std::min(dispatchers, std::max(plan.maxUsersPerEngine, wide));
+  int maxDepth(int classIndex) const {
+    int count = listedCount(classIndex), depth = 1;
+    while (count > 0 && depth * count < 2 * dispatchers * subsetSettings.minEnginesPerClass)
+      depth *= 2;
+    return std::min(dispatchers, std::max(subsetSettings.maxUsersPerEngine, depth));
   }
-  int needOf(int which) const {
-    double part = plan.minUsableShare * countOf(which) * base() / dispatchers;
-    return std::max(std::min(plan.minEnginesPerClass, countOf(which)), int(std::ceil(part - 1e-9)));
+  int requiredEngines(int classIndex) const {
+    double part = subsetSettings.minUsableShare * listedCount(classIndex) * baseDepth() / dispatchers;
+    return std::max(std::min(subsetSettings.minEnginesPerClass, listedCount(classIndex)),
+                    int(std::ceil(part - 1e-9)));
   }
-  int usableBefore(int which, int place, double now) {
+  int usableBelow(int classIndex, int rank, double now) {
     int usable = 0;
-    for (auto& [id, one] : list)
-      usable += one.record.state == kIn && serves(which, one) && !cold(one, now) && !unfit.contains(id) &&
-                placeOf(id) < place;
+    for (auto& [id, engine] : listed)
+      usable += engine.record.state == kInService && serves(classIndex, engine) && !isCold(engine, now) &&
+                !ejected.contains(id) && rankOf(id) < rank;
     return usable;
   }
-  // `settled`: long ago, so nothing is in view that isn't needed.
-  std::string broken(const SubsetHarness& is, double now, bool settled = false) {
-    for (auto& [id, one] : list) {
-      bool in = is.engines.contains(id), draining = one.record.state == kDraining;
-      int place = placeOf(id);
-      auto at = " engine " + std::to_string(id) + " at place " + std::to_string(place);
-      if (place < base() && !in)
-        return "missing:" + at;
-      if (!in)
+  // The first violation found, or an empty string. `settled`: the last change was long ago, so the subset
+  // holds no engine that is not needed.
+  std::string violation(const SubsetHarness& harness, double now, bool settled = false) {
+    for (auto& [id, engine] : listed) {
+      bool inSubset = harness.engines.contains(id), draining = engine.record.state == kDraining;
+      int rank = rankOf(id);
+      auto where = " engine " + std::to_string(id) + " at rank " + std::to_string(rank);
+      if (rank < baseDepth() && !inSubset)
+        return "missing:" + where;
+      if (!inSubset)
         continue;
-      auto& told = is.engines.at(id);
-      if (told.record.rank.value_or(-1) != (place < base() ? place : -1))
-        return "told with another place:" + at;
-      if (told.address != one.address || told.startedAtUnixMs != one.startedAtUnixMs ||
-          told.record.zone != one.record.zone || told.record.state != one.record.state)
-        return "told otherwise than listed:" + at;
-      if (place < base() || draining)
+      auto& reported = harness.engines.at(id);
+      if (reported.record.rank.value_or(-1) != (rank < baseDepth() ? rank : -1))
+        return "reported with another rank:" + where;
+      if (reported.address != engine.address || reported.startedAtUnixMs != engine.startedAtUnixMs ||
+          reported.record.zone != engine.record.zone || reported.record.state != engine.record.state)
+        return "reported otherwise than listed:" + where;
+      if (rank < baseDepth() || draining)
         continue;
-      if (cold(one, now))
-        return "cold and out of the first:" + at;
+      if (isCold(engine, now))
+        return "cold and beyond the base depth:" + where;
       bool allowed = false, inOrder = false, needed = false;
-      for (int which = 0; which < kClasses; ++which) {
-        if (!serves(which, one))
+      for (int classIndex = 0; classIndex < kClasses; ++classIndex) {
+        if (!serves(classIndex, engine))
           continue;
-        allowed |= place < boundOf(which);
-        needed |= usableBefore(which, place, now) < needOf(which);
-        inOrder |= std::ranges::all_of(list, [&](auto& other) {
-          return !serves(which, other.second) || other.second.record.state != kIn ||
-                 cold(other.second, now) || placeOf(other.first) > place || is.engines.contains(other.first);
+        allowed |= rank < maxDepth(classIndex);
+        needed |= usableBelow(classIndex, rank, now) < requiredEngines(classIndex);
+        inOrder |= std::ranges::all_of(listed, [&](auto& other) {
+          return !serves(classIndex, other.second) || other.second.record.state != kInService ||
+                 isCold(other.second, now) || rankOf(other.first) > rank ||
+                 harness.engines.contains(other.first);
         });
       }
       if (!allowed)
-        return "over the bound:" + at;
+        return "beyond the maximum depth:" + where;
       if (!inOrder)
-        return "nearer ones left out:" + at;
+        return "engines of lower rank left out:" + where;
       if (settled && !needed)
-        return "not needed:" + at;
+        return "not needed:" + where;
     }
-    for (auto& [id, told] : is.engines)
-      if (!list.contains(id))
+    for (auto& [id, reported] : harness.engines)
+      if (!listed.contains(id))
         return "not listed: " + std::to_string(id);
-    for (int which = 0; which < kClasses; ++which) {
+    for (int classIndex = 0; classIndex < kClasses; ++classIndex) {
       int usable = 0;
-      for (auto& [id, told] : is.engines)
-        usable +=
-            told.record.state == kIn && serves(which, told) && !cold(list.at(id), now) && !unfit.contains(id);
-      if (usable < std::min(needOf(which), usableBefore(which, boundOf(which), now)))
-        return "too few of class " + std::to_string(which);
+      for (auto& [id, reported] : harness.engines)
+        usable += reported.record.state == kInService && serves(classIndex, reported) &&
+                  !isCold(listed.at(id), now) && !ejected.contains(id);
+      if (usable < std::min(requiredEngines(classIndex), usableBelow(classIndex, maxDepth(classIndex), now)))
+        return "too few of class " + std::to_string(classIndex);
     }
-    return is.view.statistics().inUse == is.inService().size() ? "" : "used: counted otherwise";
+    return harness.subset.statistics().inUse == harness.inService().size()
+               ? ""
+               : "inUse differs from the engines in service";
   }
 };
 
-inline SubsetSettings planOf(int users, int mostUsers, int least, double usablePart = 0.5) {
+inline SubsetSettings makeSubsetSettings(int users, int mostUsers, int least, double usablePart = 0.5) {
   return {users, mostUsers, least, usablePart, 5};
 }
 
