--- a/bench/view_bench.cpp
+++ b/bench/view_bench.cpp
@@ -1,10 +1,10 @@
-// Which engines a dispatcher uses: four ways compared, the load of engines by the number of their users, and
-// what the view costs at the target. Prints Markdown tables; takes two minutes or so; with any argument the
-// costs alone.
-//   rendezvous  an engine is used by the first k of all dispatchers in an order of its own (src/view)
-//   rounds      the list is shuffled by round; the N / k dispatchers of a round take slices of it
-//   ring        dispatchers stand on a ring, 64 points each; an engine is used by the next k from its own point
-//   random      each dispatcher draws E k / N engines of the list by its own seed
+// Compares four subsetting methods, the load of engines by the number of their users, and measures the cost
+// of EngineSubset at the target size. Prints Markdown tables; takes about two minutes; with any argument only
+// the costs.
+//   rendezvous an engine is used by the k dispatchers that rank first at it (src/view) rounds deterministic
+//   subsetting: the list is shuffled per round; the N / k dispatchers of a round take slices ring consistent
+//   hashing, 64 points per dispatcher; an engine is used by the next k from its own point random each
+//   dispatcher draws E k / N engines of the list by its own seed
 #include <malloc.h>
 
 #include <algorithm>
@@ -24,7 +24,7 @@
 
 namespace {
 
-using Ids = std::vector<uint32_t>;  // of engines, as a list has them
+using Ids = std::vector<uint32_t>;  // of engines, in the order of a list
 
 double seconds() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
@@ -45,10 +45,10 @@
   return ids;
 }
 
-// A way tells the engines of one dispatcher, as indexes into the list that it has.
-struct Way {
+// A method returns the engines of one dispatcher, as indices into its list.
+struct Method {
   const char* name;
-  std::function<std::vector<uint32_t>(const Ids& list, int ordinal, int dispatchers, int users)> view;
+  std::function<std::vector<uint32_t>(const Ids& list, int ordinal, int dispatchers, int users)> subset;
 };
 
 std::vector<uint32_t> rendezvous(const Ids& list, int ordinal, int dispatchers, int users) {
@@ -60,12 +60,12 @@
 }
 
 std::vector<uint32_t> shuffled(size_t engines, uint64_t seed,
-                               size_t first) {  // the first so many are in their place
+                               size_t first) {  // only the first ones are shuffled
   std::vector<uint32_t> all(engines);
   std::iota(all.begin(), all.end(), 0);
-  std::mt19937_64 chance(seed * 0x9e3779b97f4a7c15 + 1);
+  std::mt19937_64 random(seed * 0x9e3779b97f4a7c15 + 1);
   for (size_t i = 0; i < first; ++i)
-    std::swap(all[i], all[i + chance() % (engines - i)]);
+    std::swap(all[i], all[i + random() % (engines - i)]);
   return all;
 }
 std::vector<uint32_t> rounds(const Ids& list, int ordinal, int dispatchers, int users) {
@@ -82,14 +82,14 @@
   return all;
 }
 
-struct Ring {  // its points, and each engine's users
+struct Ring {  // the points of all dispatchers
   explicit Ring(int dispatchers) {
     for (int d = 0; d < dispatchers; ++d)
       for (uint32_t point = 0; point < 64; ++point)
         points.push_back({rendezvousWeight(~point, uint32_t(d)), d});
     std::ranges::sort(points);
   }
-  template <class Visit>  // until it says that it is enough
+  template <class Visit>  // until `visit` returns true
   void next(uint32_t engine, int users, std::vector<int>& seen, Visit&& visit) const {
     auto at = std::ranges::lower_bound(points, std::pair{rendezvousWeight(engine, 0xffffff), 0});
     seen.clear();
@@ -115,13 +115,13 @@
   return mine;
 }
 
-// All views at once, by id of engine: which dispatchers use it, in ascending order. What goes by engine is
-// worked out by engine, as one view after the other would take minutes.
+// The subsets of all dispatchers, by engine: its users in ascending order. Methods that work by engine are
+// computed by engine: one subset after the other would take minutes.
 using Users = std::vector<std::vector<uint16_t>>;
-Users usersOf(const Way& way, const Ids& list, int dispatchers, int users, const Ids* older = nullptr) {
+Users usersOf(const Method& method, const Ids& list, int dispatchers, int users, const Ids* older = nullptr) {
   Users all(list.size());
-  bool byRing = std::string(way.name) == "ring";
-  if (byRing || std::string(way.name) == "rendezvous") {
+  bool byRing = std::string(method.name) == "ring";
+  if (byRing || std::string(method.name) == "rendezvous") {
     Ring ring(byRing ? dispatchers : 0);
     std::vector<int> seen;
     std::vector<std::pair<uint64_t, uint16_t>> order(static_cast<size_t>(dispatchers));
@@ -136,12 +136,12 @@
           all[e].push_back(order[size_t(i)].second);
       }
       if (older && e >= older->size())
-        std::erase_if(all[e], [](auto d) { return d % 2; });  // they don't list it
+        std::erase_if(all[e], [](auto d) { return d % 2; });  // half of the dispatchers do not list it
       std::ranges::sort(all[e]);
     }
   } else {
     for (int d = 0; d < dispatchers; ++d)
-      for (uint32_t e : way.view(older && d % 2 ? *older : list, d, dispatchers, users))
+      for (uint32_t e : method.subset(older && d % 2 ? *older : list, d, dispatchers, users))
         all[e].push_back(uint16_t(d));
   }
   return all;
@@ -159,7 +159,7 @@
   return count;
 }
 
-void compare(const std::vector<Way>& ways, int dispatchers, uint32_t engines) {
+void compare(const std::vector<Method>& methods, int dispatchers, uint32_t engines) {
   Ids list = idsOf(engines), more = idsOf(engines + 1), older = idsOf(engines - engines / 100);
   std::printf(
       "\n%d dispatchers, %u engines. Moved: entries of all views together. Older: half of the dispatchers "
@@ -170,9 +170,9 @@
       "moved by an engine more | moved by a dispatcher more | older: most users | one view, ms |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- |\n",
       dispatchers, engines);
-  for (auto& way : ways)
+  for (auto& method : methods)
     for (int users : {8, 16, 24, 32, 48, 96}) {
-      Users all = usersOf(way, list, dispatchers, users);
+      Users all = usersOf(method, list, dispatchers, users);
       std::vector<size_t> by, of(static_cast<size_t>(dispatchers));
       for (auto& one : all) {
         by.push_back(one.size());
@@ -182,23 +182,24 @@
       std::ranges::sort(by);
       std::ranges::sort(of);
       size_t sum = std::accumulate(by.begin(), by.end(), size_t{0}), most = 0;
-      for (auto& one : usersOf(way, list, dispatchers, users, &older))
+      for (auto& one : usersOf(method, list, dispatchers, users, &older))
         most = std::max(most, one.size());
-      bool dear = users == 24 || users == 96;  // the others say the same
-      size_t engine = dear ? moved(all, usersOf(way, more, dispatchers, users)) : 0;
-      size_t dispatcher = dear ? moved(all, usersOf(way, list, dispatchers + 1, users)) : 0;
-      double took = medianOf(5, [&] { way.view(list, dispatchers / 2, dispatchers, users); });
-      std::printf("| %s | %d | %zu / %.1f / %zu / %zu | %zu / %.0f / %zu | ", way.name, users, by.front(),
+      bool expensive = users == 24 || users == 96;  // the others show the same
+      size_t engine = expensive ? moved(all, usersOf(method, more, dispatchers, users)) : 0;
+      size_t dispatcher = expensive ? moved(all, usersOf(method, list, dispatchers + 1, users)) : 0;
+      double took = medianOf(5, [&] { method.subset(list, dispatchers / 2, dispatchers, users); });
+      std::printf("| %s | %d | %zu / %.1f / %zu / %zu | %zu / %.0f / %zu | ", method.name, users, by.front(),
                   double(sum) / engines, by[by.size() * 99 / 100], by.back(), of.front(),
                   double(sum) / dispatchers, of.back());
-      dear ? std::printf("%zu | %zu", engine, dispatcher) : std::printf("- | -");
+      expensive ? std::printf("%zu | %zu", engine, dispatcher) : std::printf("- | -");
       std::printf(" | %zu | %.1f |\n", most, took * 1000);
       std::fflush(stdout);
     }
 }
 
-// Utilisation of engines over its mean, where each dispatcher spreads its traffic over its view by capacity,
-// and nobody heeds how busy an engine is: the module does, so this is the worst that it starts from.
+// Utilisation of engines over its mean if each dispatcher spreads its traffic over its subset by capacity and
+// ignores how busy the engines are. The module does consider that, so this is the worst case that it starts
+// from.
 struct Load {
   const char* what;
   double heavy,
@@ -206,33 +207,35 @@
   double p99 = 0, most = 0;
 };
 void addLoad(Load& sum, const Users& users, int dispatchers, uint64_t seed) {
-  std::mt19937_64 chance(seed);
+  std::mt19937_64 random(seed);
   size_t engines = users.size(), count = size_t(dispatchers);
   std::vector<double>
-      sizes;  // of 16 zones, the largest three times the smallest; dispatchers stand where engines do
+      sizes;  // of 16 zones, the largest three times the smallest, for engines and dispatchers
   for (int zone = 0; zone < 16; ++zone)
     sizes.push_back(1 + zone / 7.5);
   std::discrete_distribution<int> zones(sizes.begin(), sizes.end()), kinds({4, 3, 1});
   std::vector<int> zoneOf(engines), home(count);
-  std::vector<double> capacity(engines), traffic(count), wide(count), near(count), load(engines);
+  std::vector<double> capacity(engines), traffic(count), subsetCapacity(count), ownZoneCapacity(count),
+      load(engines);
   for (size_t e = 0; e < engines; ++e) {
-    zoneOf[e] = zones(chance);
-    capacity[e] = 8 << kinds(chance);
+    zoneOf[e] = zones(random);
+    capacity[e] = 8 << kinds(random);
   }
   for (size_t d = 0; d < count; ++d) {
-    home[d] = zones(chance);
-    traffic[d] = chance() % 10 == 0 ? sum.heavy : 1;
+    home[d] = zones(random);
+    traffic[d] = random() % 10 == 0 ? sum.heavy : 1;
   }
   for (size_t e = 0; e < engines; ++e)
     for (auto d : users[e]) {
-      wide[d] += capacity[e];
-      near[d] += home[d] == zoneOf[e] ? capacity[e] : 0;
+      subsetCapacity[d] += capacity[e];
+      ownZoneCapacity[d] += home[d] == zoneOf[e] ? capacity[e] : 0;
     }
   double work = 0, all = 0;
   for (size_t e = 0; e < engines; ++e) {
     for (auto d : users[e]) {
-      double bound = near[d] > 0 ? sum.bound : 0;
-      load[e] += traffic[d] * ((1 - bound) / wide[d] + (home[d] == zoneOf[e] ? bound / near[d] : 0));
+      double bound = ownZoneCapacity[d] > 0 ? sum.bound : 0;
+      load[e] += traffic[d] *
+                 ((1 - bound) / subsetCapacity[d] + (home[d] == zoneOf[e] ? bound / ownZoneCapacity[d] : 0));
     }
     work += load[e] * capacity[e];
     all += capacity[e];
@@ -241,7 +244,7 @@
   sum.p99 += load[engines * 99 / 100] / (work / all);
   sum.most += load.back() / (work / all);
 }
-void loads(const std::vector<Way>& ways, int dispatchers, uint32_t engines) {
+void loads(const std::vector<Method>& methods, int dispatchers, uint32_t engines) {
   constexpr int kDraws = 3;
   std::vector<std::string> tables;
   std::vector<Load> kinds = {
@@ -250,8 +253,8 @@
       {"the same, and 0.3 of the traffic is bound to the dispatcher's own zone", 10, 0.3}};
   for (auto& kind : kinds) {
     std::string& table = tables.emplace_back(std::string(kind.what) + ":\n\n| k |");
-    for (auto& way : ways)
-      table.append(" ").append(way.name).append(" |");
+    for (auto& method : methods)
+      table.append(" ").append(method.name).append(" |");
     table += "\n| --- | --- | --- | --- | --- |\n";
   }
   auto add = [&](const Users& users) {
@@ -267,8 +270,8 @@
   for (int users : {8, 16, 24, 32, 48, 96, 200}) {
     for (auto& table : tables)
       table.append("| ").append(std::to_string(users)).append(" |");
-    for (auto& way : ways)
-      add(usersOf(way, idsOf(engines), dispatchers, users));
+    for (auto& method : methods)
+      add(usersOf(method, idsOf(engines), dispatchers, users));
     for (auto& table : tables)
       table += "\n";
   }
@@ -290,13 +293,13 @@
 }
 
 void costs(int dispatchers, uint32_t engines) {
-  Settings set;
-  set.gatewayCount = dispatchers;
-  set.ordinal = dispatchers / 3;
-  set.coldDuration = 30;
-  set.profiles.resize(3);
-  set.profiles[1].allowedZones = {"z3"};
-  set.profiles[2].allowedKinds = {"k2"};
+  Settings settings;
+  settings.gatewayCount = dispatchers;
+  settings.ordinal = dispatchers / 3;
+  settings.coldDuration = 30;
+  settings.profiles.resize(3);
+  settings.profiles[1].allowedZones = {"z3"};
+  settings.profiles[2].allowedKinds = {"k2"};
   EngineListEvent list{1, true, {}};
   for (uint32_t i = 0; i < engines; ++i) {
     ListedEngine& one = list.engines.emplace_back();
@@ -306,47 +309,48 @@
     one.record.kind = std::string("k").append(std::to_string(i / 16 % 8 ? i % 2 : 2));
   }
   double now = 1e9;
-  SubsetSettings plan;
-  double start = medianOf(5, [&] { EngineSubset(plan, set).apply(list, now); });
+  SubsetSettings subsetSettings;
+  double start = medianOf(5, [&] { EngineSubset(subsetSettings, settings).apply(list, now); });
   auto bytes = [] {
     auto info = mallinfo2();
     return info.uordblks + info.hblkhd;
   };
   malloc_trim(0);
   size_t before = bytes();
-  EngineSubset view(plan, set);
-  Ids near;
-  for (auto& change : view.apply(list, now))
-    near.push_back(change.record.id);
+  EngineSubset subset(subsetSettings, settings);
+  Ids inSubset;
+  for (auto& change : subset.apply(list, now))
+    inSubset.push_back(change.record.id);
   size_t held = bytes() - before;
-  SubsetStatistics figures = view.statistics();
+  SubsetStatistics figures = subset.statistics();
   auto us = [](double took) { return took * 1e6; };
-  double same = medianOf(21, [&] { view.apply(list, now += 1); });
-  double idle = medianOf(1001, [&] { view.tick(now += 0.1); });
+  double same = medianOf(21, [&] { subset.apply(list, now += 1); });
+  double idle = medianOf(1001, [&] { subset.tick(now += 0.1); });
   uint32_t id = 0;
   double one = medianOf(1001, [&] {
     ListedEngine row = list.engines[++id * 37 % engines];
     row.record.cell = int(id);
-    view.apply({1, false, {row}}, now += 1);
+    subset.apply({1, false, {row}}, now += 1);
   });
-  double comes = medianOf(501, [&] {  // somewhere in the middle
+  double comes = medianOf(501, [&] {  // in the middle of the list
     ListedEngine row = list.engines[++id * 7919 % engines];
     ++row.record.id;
-    view.apply({1, false, {row}}, now += 1);
+    subset.apply({1, false, {row}}, now += 1);
   });
   double goes = medianOf(501, [&] {
     ListedEngine row = list.engines[++id * 7919 % engines];
     row.record.state = EngineState::removed;
-    view.apply({1, false, {row}}, now += 1);
+    subset.apply({1, false, {row}}, now += 1);
   });
-  view.apply(list, now += 1);
+  subset.apply(list, now += 1);
   bool is = false;
-  double rest =
-      medianOf(1001, [&] { view.setEjected(near[id++ / 2 % near.size()], is = !is), view.tick(now += 0.1); });
-  view.apply({1, true, {}}, now += 1);
-  view.apply(list, now += 1);
-  while (view.nextWakeUp() < HUGE_VAL)
-    view.tick(now = view.nextWakeUp());  // until it is as narrow as at first
+  double rest = medianOf(1001, [&] {
+    subset.setEjected(inSubset[id++ / 2 % inSubset.size()], is = !is), subset.tick(now += 0.1);
+  });
+  subset.apply({1, true, {}}, now += 1);
+  subset.apply(list, now += 1);
+  while (subset.nextWakeUp() < HUGE_VAL)
+    subset.tick(now = subset.nextWakeUp());  // until it has narrowed again
   EngineListEvent zone{1, false, {}};
   for (auto& row : list.engines)
     if (row.record.zone == "z5")
@@ -358,13 +362,13 @@
   };
   for (auto& row : zone.engines)
     row.record.state = EngineState::removed;
-  auto gone = timed([&] { return view.apply(zone, now += 60).size(); });
+  auto gone = timed([&] { return subset.apply(zone, now += 60).size(); });
   for (auto& row : zone.engines) {
     row.record.state = EngineState::inService;
     row.startedAtUnixMs = int64_t(now * 1000) + 60000;
   }
-  auto back = timed([&] { return view.apply(zone, now += 60).size(); });
-  auto warm = timed([&] { return view.tick(now += 31).size(); });
+  auto back = timed([&] { return subset.apply(zone, now += 60).size(); });
+  auto warm = timed([&] { return subset.tick(now += 31).size(); });
   std::printf(
       "\n%d dispatchers, %u engines, users %d, at most %d, three classes.\n\n"
       "| what | time, us | entries told |\n| --- | --- | --- |\n"
@@ -374,22 +378,22 @@
       "| %zu engines gone in one event | %.0f | %zu |\n| back, cold, in one event | %.0f | %zu |\n"
       "| warm, in one tick | %.0f | %zu |\n\n"
       "In view %zu, reach %d; %zu bytes held, %.1f an engine, those in view included.\n",
-      dispatchers, engines, plan.usersPerEngine, plan.maxUsersPerEngine, us(start), near.size(), us(same),
-      us(one), us(comes), us(goes), us(rest), us(idle), zone.engines.size(), us(gone.first), gone.second,
-      us(back.first), back.second, us(warm.first), warm.second, figures.inUse, figures.depth, held,
-      double(held) / engines);
+      dispatchers, engines, subsetSettings.usersPerEngine, subsetSettings.maxUsersPerEngine, us(start),
+      inSubset.size(), us(same), us(one), us(comes), us(goes), us(rest), us(idle), zone.engines.size(),
+      us(gone.first), gone.second, us(back.first), back.second, us(warm.first), warm.second, figures.inUse,
+      figures.depth, held, double(held) / engines);
 }
 
 }  // namespace
 
 int main(int count, char**) {
-  std::vector<Way> ways = {
+  std::vector<Method> methods = {
       {"rendezvous", rendezvous}, {"rounds", rounds}, {"ring", ring}, {"random", randomly}};
   for (auto [dispatchers, engines] : {std::pair{240, 4400u}, {2400, 44000u}}) {
     if (count > 1)
       break;
-    compare(ways, dispatchers, engines);
-    loads(ways, dispatchers, engines);
+    compare(methods, dispatchers, engines);
+    loads(methods, dispatchers, engines);
   }
   for (auto [dispatchers, engines] : {std::pair{38, 344u}, {150, 1376u}, {600, 11000u}, {2400, 44000u}})
     costs(dispatchers, engines);
