--- a/tests/fuzz/members_fuzz.cpp
+++ b/tests/fuzz/members_fuzz.cpp
@@ -1,7 +1,8 @@
-// What comes from peers, as a fuzzer makes it up: bytes with a right sum, read and heard by a core of a fleet of eight.
-// The first byte says how far the clock goes on; the rest are messages, each after two bytes with its length; each is a
-// letter about loans as well. With
-// clang's libFuzzer (ELMCLEAT_FUZZ) it searches; without it plays the files that it is given, as CI does with the corpus.
+// Fuzzer for all that a process reads from its peers. The first byte of the input is the time step; then
+// follow messages, each after two bytes with its length. Each is given a valid checksum, decoded and received
+// by a Membership in a fleet of eight, and also decoded as a lease message for a LeaseManager. Built with
+// clang's libFuzzer (ELMCLEAT_FUZZ) it searches for failures; without it the program runs the files named on
+// its command line, as CI does with the corpus.
 #include <cstdint>
 #include <cstdlib>
 #include <fstream>
@@ -17,7 +18,7 @@
 
 namespace {
 
-std::string sealed(const std::string& body) {
+std::string withChecksum(const std::string& body) {
   uint64_t sum = checksum(body);
   std::string bytes;
   for (size_t i = 0; i < 8; ++i)
@@ -25,54 +26,63 @@
   return bytes + body;
 }
 
-void must(bool holds, const char* what) {
+void require(bool holds, const char* failure) {
   if (holds)
     return;
-  std::cerr << "broken: " << what << std::endl;
+  std::cerr << "invariant violated: " << failure << std::endl;
   std::abort();
 }
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
-  static const MembershipSettings plan = lab::MembershipSimulation::settingsFor(8);
-  static const MessageCodec wire(plan);
-  std::string in(reinterpret_cast<const char*>(data), size);
-  if (in.size() < 3)
+  static const MembershipSettings settings = lab::MembershipSimulation::settingsFor(8);
+  static const MessageCodec codec(settings);
+  std::string input(reinterpret_cast<const char*>(data), size);
+  if (input.size() < 3)
     return 0;
-  double now = 0, step = static_cast<unsigned char>(in[0]) / 32.0;
-  Membership membership(plan, 0, {5, 1}, 1, now);
-  shared::LeaseSettings terms;
-  terms.memberCount = 8, terms.quotas = {80, 8};
-  const shared::LeaseCodec letters({"a", "b"}, terms.quotas);
-  shared::LeaseManager loans(terms, 0, 5, 1, now);
-  loans.setDemand(0, 60), loans.setDemand(1, 0.5);
-  for (size_t at = 1; at + 2 <= in.size(); now += step) {
-    size_t length = size_t(static_cast<unsigned char>(in[at])) << 8 | static_cast<unsigned char>(in[at + 1]);
-    std::string bytes = sealed(in.substr(at + 2, length));
-    at += 2 + length;
-    auto read = wire.decode(bytes);
-    if (auto* message = std::get_if<Message>(&read)) {
-      must(message->from >= 0 && message->to >= 0, "a message without its two ends was passed on");
-      for (auto& row : message->updates)
-        must(row.member >= 0 && row.member < 8, "a row names nobody");
-      must(std::holds_alternative<Message>(wire.decode(wire.encode(*message))),
-           "what was read can't be written and read");
+  double now = 0;
+  double step = static_cast<unsigned char>(input[0]) / 32.0;
+  Membership membership(settings, 0, {5, 1}, 1, now);
+  shared::LeaseSettings leaseSettings;
+  leaseSettings.memberCount = 8;
+  leaseSettings.quotas = {80, 8};
+  const shared::LeaseCodec leaseCodec({"a", "b"}, leaseSettings.quotas);
+  shared::LeaseManager leases(leaseSettings, 0, 5, 1, now);
+  leases.setDemand(0, 60);
+  leases.setDemand(1, 0.5);
+  for (size_t position = 1; position + 2 <= input.size(); now += step) {
+    size_t length = size_t(static_cast<unsigned char>(input[position])) << 8 |
+                    static_cast<unsigned char>(input[position + 1]);
+    std::string bytes = withChecksum(input.substr(position + 2, length));
+    position += 2 + length;
+    auto decoded = codec.decode(bytes);
+    if (auto* message = std::get_if<Message>(&decoded)) {
+      require(message->from >= 0 && message->to >= 0, "a message without sender or receiver was decoded");
+      for (auto& update : message->updates)
+        require(update.member >= 0 && update.member < 8, "an update for an unlisted member");
+      require(std::holds_alternative<Message>(codec.decode(codec.encode(*message))),
+              "a decoded message does not round-trip");
       membership.receive(now, *message);
     }
     membership.tick(now);
     for (auto& message : membership.takeOutgoing())
-      must(wire.encode(message).size() <= kMaxMessageBytes, "too large a message");
+      require(codec.encode(message).size() <= kMaxMessageBytes, "an outgoing message over the size limit");
     const MemberStatus& own = membership.statusOf(0);
-    must(membership.isDemoted() || own.state == MemberState::alive, "it was talked into its own end");
-    must(membership.instance().incarnation < (uint64_t{1} << 62) + 1000, "numbers ran away");
-    if (auto letter = letters.decode(in.substr(at - length, length), 1 + int(length % 7), 0))
-      loans.receive(now, *letter);
-    loans.tick(now), loans.takeOutgoing();
-    for (size_t i = 0; i < 2; ++i)  // no more than all own, and no less than nothing
-      must(loans.available(i, now) >= 0 && loans.available(i, now) <= terms.quotas[i] * 1.0000001,
-           "loans out of all bounds");
-    must(membership.nextWakeUp() >= 0, "it wants to be woken in the past");
+    require(membership.isDemoted() || own.state == MemberState::alive,
+            "the process accepted a status of itself other than alive");
+    require(membership.instance().incarnation < (uint64_t{1} << 62) + 1000,
+            "the incarnation is out of bounds");
+    if (auto leaseMessage =
+            leaseCodec.decode(input.substr(position - length, length), 1 + int(length % 7), 0))
+      leases.receive(now, *leaseMessage);
+    leases.tick(now);
+    leases.takeOutgoing();
+    for (size_t i = 0; i < 2; ++i)  // never negative, and never more than the quota of the fleet
+      require(
+          leases.available(i, now) >= 0 && leases.available(i, now) <= leaseSettings.quotas[i] * 1.0000001,
+          "quota out of bounds");
+    require(membership.nextWakeUp() >= 0, "the next wake-up is negative");
   }
   return 0;
 }
@@ -83,10 +93,10 @@
     std::ifstream file(files[i], std::ios::binary);
     std::string bytes{std::istreambuf_iterator<char>(file), {}};
     if (bytes.empty())
-      return std::cerr << files[i] << ": nothing to read\n", 1;
+      return std::cerr << files[i] << ": empty or unreadable\n", 1;
     LLVMFuzzerTestOneInput(reinterpret_cast<const uint8_t*>(bytes.data()), bytes.size());
   }
-  std::cout << count - 1 << " files played\n";
+  std::cout << count - 1 << " files run\n";
   return count > 1 ? 0 : 1;
 }
 #endif
--- a/tests/threads_test.cpp
+++ b/tests/threads_test.cpp
@@ -1,5 +1,5 @@
-// What two threads share: the hand-over of views, the log, the control thread itself. Built and run under
-// ThreadSanitizer as well.
+// Tests of what the control thread and the traffic thread share: the snapshot exchange, the log, and
+// ControlThread itself. They are also built and run under ThreadSanitizer.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -11,10 +11,9 @@
 
 using namespace elmcleat;
 
-TEST_CASE(
-    "the latest of what one thread makes: whole, never older than the one before, the last one in the end") {
+TEST_CASE("snapshot exchange: values arrive whole and in order, and the last one is kept") {
   struct Pair {
-    uint64_t one, two;
+    uint64_t value, complement;
   };
   LatestValue<Pair> latest;
   CHECK_EQ(latest.read(), nullptr);
@@ -24,78 +23,90 @@
       latest.publish(std::make_unique<const Pair>(Pair{i, ~i}));
   });
   uint64_t last = 0;
-  bool whole = true, onward = true;
+  bool isWhole = true, inOrder = true;
   while (last < kCount) {
     const Pair* pair = latest.read();
     if (!pair)
       continue;
-    whole = whole && pair->two == ~pair->one, onward = onward && pair->one >= last;
-    last = pair->one;
+    isWhole = isWhole && pair->complement == ~pair->value;
+    inOrder = inOrder && pair->value >= last;
+    last = pair->value;
   }
   writer.join();
-  CHECK(whole);
-  CHECK(onward);
-  CHECK_EQ(latest.read()->one, kCount);  // and it stays until there is another
+  CHECK(isWhole);
+  CHECK(inOrder);
+  CHECK_EQ(latest.read()->value, kCount);  // kept until the next one
 }
 
-TEST_CASE("two control threads find each other, tell their views, and end when told") {
+TEST_CASE("two control threads discover each other, publish snapshots, and stop") {
   Clock clock;
-  sockaddr_in one = Listener().address, two = Listener().address;
-  auto own = [](const sockaddr_in& at) { return Address{ntohl(at.sin_addr.s_addr), ntohs(at.sin_port)}; };
-  members::MembershipSettings plan;
-  plan.fleet = "threads", plan.peers = {{"n0", own(one)}, {"n1", own(two)}};
-  ControlThread first(clock, plan, "n0", 1), second(clock, plan, "n1", 2);
-  auto there = [&](ControlThread& control) {
-    const ControlSnapshot* told = control.latest(clock.now());
-    return told ? told->members.presentMembers : 0;
+  sockaddr_in firstAddress = Listener().address;
+  sockaddr_in secondAddress = Listener().address;
+  auto addressOf = [](const sockaddr_in& native) {
+    return Address{ntohl(native.sin_addr.s_addr), ntohs(native.sin_port)};
   };
-  auto until = [&](size_t wanted) {
+  members::MembershipSettings settings;
+  settings.fleet = "threads";
+  settings.peers = {{"n0", addressOf(firstAddress)}, {"n1", addressOf(secondAddress)}};
+  ControlThread first(clock, settings, "n0", 1);
+  ControlThread second(clock, settings, "n1", 2);
+  auto presentMembers = [&](ControlThread& control) {
+    const ControlSnapshot* snapshot = control.latest(clock.now());
+    return snapshot ? snapshot->members.presentMembers : 0;
+  };
+  auto reaches = [&](size_t wanted) {
     for (double end = now() + 8; now() < end; pause(0.01)) {
-      info() << "the other thread writes as well";  // to the same log, at the same time
-      if (there(first) == wanted)
+      info() << "concurrent line of the traffic thread";  // while the control threads write to the same log
+      if (presentMembers(first) == wanted)
         return true;
     }
     return false;
   };
-  CHECK(until(2));
+  CHECK(reaches(2));
   CHECK(second.stop());
-  CHECK(until(1));                                                       // it said goodbye
-  CHECK_THROWS_AS(ControlThread(clock, plan, "n2", 3), members::Error);  // no such name
-  CHECK_THROWS_AS(ControlThread(clock, plan, "n0", 3), members::Error);  // taken
-  CHECK_EQ(first.latest(clock.now() + 60), nullptr);                     // too old to act on
+  CHECK(reaches(1));  // it has announced that it leaves
+  CHECK_THROWS_AS(ControlThread(clock, settings, "n2", 3), members::Error);  // not listed
+  CHECK_THROWS_AS(ControlThread(clock, settings, "n0", 3), members::Error);  // address in use
+  CHECK_EQ(first.latest(clock.now() + 60), nullptr);                         // too old to act on
   CHECK_NE(first.latest(clock.now()), nullptr);
   CHECK(first.stop());
 }
 
-TEST_CASE("a rate goes by loans from one control thread to the other, once the lender's traffic heeds it") {
+TEST_CASE("a control thread leases quota to another only after its traffic has acknowledged the snapshot") {
   Clock clock;
-  sockaddr_in one = Listener().address, two = Listener().address;
-  members::MembershipSettings plan;
-  plan.fleet = "threads";
-  for (auto& at : {one, two})
-    plan.peers.push_back(
-        {"n" + std::to_string(plan.peers.size()), {ntohl(at.sin_addr.s_addr), ntohs(at.sin_port)}});
+  sockaddr_in borrowerAddress = Listener().address;
+  sockaddr_in lenderAddress = Listener().address;
+  members::MembershipSettings settings;
+  settings.fleet = "threads";
+  for (auto& native : {borrowerAddress, lenderAddress})
+    settings.peers.push_back({"n" + std::to_string(settings.peers.size()),
+                              {ntohl(native.sin_addr.s_addr), ntohs(native.sin_port)}});
   QuotaSharing sharing;
-  sharing.settings.memberCount = 2, sharing.settings.quotas = {10}, sharing.rates = {{"a", false, 10}};
-  ControlThread borrower(clock, plan, "n0", 1, sharing), lender(clock, plan, "n1", 2, sharing);
-  auto look = [&](ControlThread& control, double want, bool heeds) {  // as a traffic thread does
-    const ControlSnapshot* told = control.latestQuotas();
-    control.setDemand({want});
-    if (heeds)
-      control.acknowledge(told->members.number);
-    return told->quotas[0].availableAt(clock.now());
+  sharing.settings.memberCount = 2;
+  sharing.settings.quotas = {10};
+  sharing.rates = {{"a", false, 10}};
+  ControlThread borrower(clock, settings, "n0", 1, sharing);
+  ControlThread lender(clock, settings, "n1", 2, sharing);
+  // What a traffic thread does with each snapshot; returns the quota that it may use.
+  auto applySnapshot = [&](ControlThread& control, double demand, bool acknowledges) {
+    const ControlSnapshot* snapshot = control.latestQuotas();
+    control.setDemand({demand});
+    if (acknowledges)
+      control.acknowledge(snapshot->members.number);
+    return snapshot->quotas[0].availableAt(clock.now());
   };
-  double most = 0;
+  double mostBorrowed = 0;
   for (double end = now() + 4; now() < end; pause(0.005)) {
-    look(lender, 0, false);  // its traffic hangs: nothing goes out
-    most = std::max(most, look(borrower, 9, true));
+    applySnapshot(lender, 0, false);  // its traffic is stalled: no grant may be sent
+    mostBorrowed = std::max(mostBorrowed, applySnapshot(borrower, 9, true));
   }
-  CHECK_LE(most, 5);
-  bool got = false;
-  for (double end = now() + 8; !got && now() < end; pause(0.005)) {
-    double lends = look(lender, 0, true), borrows = look(borrower, 9, true);
-    CHECK_LE(lends + borrows, 10.0000001);
-    got = borrows > 8.9;
+  CHECK_LE(mostBorrowed, 5);
+  bool hasBorrowed = false;
+  for (double end = now() + 8; !hasBorrowed && now() < end; pause(0.005)) {
+    double lenderQuota = applySnapshot(lender, 0, true);
+    double borrowerQuota = applySnapshot(borrower, 9, true);
+    CHECK_LE(lenderQuota + borrowerQuota, 10.0000001);
+    hasBorrowed = borrowerQuota > 8.9;
   }
-  CHECK(got);
+  CHECK(hasBorrowed);
 }
