--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// All that a dispatcher is told at its start.
+// The configuration of a dispatcher process, read at its start and again on SIGHUP.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -15,15 +15,16 @@
   Address listenAddress, changeLogAddress;
   uint64_t seed = 0;
   size_t maxDescriptors = 0;                   // descriptors that the process may hold
-  size_t memoryMb = 0;                         // memory that it may take
+  size_t memoryMb = 0;                         // memory that the process may use
   std::vector<EngineListEvent> initialEvents;  // the change log's events up to now
   Settings settings;
   ConnectionSettings connectionSettings;
-  bool peersAllowed = false;  // instances may speak with each other
+  bool peersAllowed = false;  // gateways may communicate with each other
   LogLevel logLevel = LogLevel::info;
 };
 
-// From the environment and the file that it names; std::invalid_argument names the faulty key.
+// Reads the file that the environment variable PROXY_CONFIG names; PROXY_NAME and PROXY_LISTEN override its
+// keys. Throws std::invalid_argument, which names the invalid key.
 Config readConfig();
 Config readConfig(const Json& file);
 
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "gateway_schema.h"  // made from schemas/ when the program is built
+#include "gateway_schema.h"  // generated from schemas/ by the build
 
 namespace elmcleat {
 namespace {
@@ -18,15 +18,16 @@
   return amounts;
 }
 
-budget::NodeSettings readTerms(const Section& section, const budget::NodeSettings& otherwise) {
-  budget::NodeSettings settings = otherwise;
+// The settings of one budget node; absent keys keep the defaults, but the guarantee is never inherited.
+budget::NodeSettings readNodeSettings(const Section& section, const budget::NodeSettings& defaults) {
+  budget::NodeSettings settings = defaults;
   settings.guarantee = readAmounts(section.subsection("guarantee"));
   if (section.has("ceiling"))
     settings.ceiling = readAmounts(section.subsection("ceiling"));
-  settings.burst = section.get("burstS", otherwise.burst);
-  settings.weight = section.get("weight", otherwise.weight);
-  settings.priority = section.get("priority", otherwise.priority);
-  settings.agingThreshold = section.get("ageAfterS", otherwise.agingThreshold);
+  settings.burst = section.get("burstS", defaults.burst);
+  settings.weight = section.get("weight", defaults.weight);
+  settings.priority = section.get("priority", defaults.priority);
+  settings.agingThreshold = section.get("ageAfterS", defaults.agingThreshold);
   return settings;
 }
 
@@ -47,20 +48,20 @@
                                               {"cancel", budget::PreemptionMode::cancel}});
   settings.preemptionDelay = section.get("preemptAfterS", settings.preemptionDelay);
   settings.adviseRetryAfter = section.get("tellWaits", settings.adviseRetryAfter);
-  settings.defaults = readTerms(section.subsection("default"), settings.defaults);
-  for (auto& row : section.items("nodes"))
-    settings.entries.push_back({row.required<std::string>("name"), row.get<std::string>("parent", ""),
-                                readTerms(row, settings.defaults)});
+  settings.defaults = readNodeSettings(section.subsection("default"), settings.defaults);
+  for (auto& node : section.items("nodes"))
+    settings.entries.push_back({node.required<std::string>("name"), node.get<std::string>("parent", ""),
+                                readNodeSettings(node, settings.defaults)});
   return settings;
 }
 
 members::MembershipSettings readMembershipSettings(const Section& section) {
   members::MembershipSettings settings;
   settings.fleet = section.required<std::string>("fleet");
-  for (auto& row : section.items("peers")) {
-    members::Peer peer{row.required<std::string>("name"), {}};
-    // What is no address is told below, with all other faults.
-    peer.address = parseAddress(row.required<std::string>("at")).value_or(Address{});
+  for (auto& item : section.items("peers")) {
+    members::Peer peer{item.required<std::string>("name"), {}};
+    // readGatewayConfig() reports an invalid address, together with all other errors.
+    peer.address = parseAddress(item.required<std::string>("at")).value_or(Address{});
     settings.peers.push_back(peer);
   }
   settings.probeInterval = section.get("periodS", settings.probeInterval);
@@ -70,12 +71,12 @@
   return settings;
 }
 
-shared::LeaseSettings readLeaseSettings(const Section& section, int members,
+shared::LeaseSettings readLeaseSettings(const Section& section, int memberCount,
                                         const budget::BudgetSettings& budgets) {
   shared::LeaseSettings settings;
-  settings.memberCount = members;
+  settings.memberCount = memberCount;
   settings.reservedShare = section.get("keptPart", settings.reservedShare);
-  settings.leaseDuration = section.get("loanS", settings.leaseDuration),
+  settings.leaseDuration = section.get("loanS", settings.leaseDuration);
   settings.guardTime = section.get("guardS", settings.guardTime);
   for (auto& rate : budget::fleetRates(budgets))
     settings.quotas.push_back(rate.cores);
@@ -96,36 +97,37 @@
 GatewayConfig readGatewayConfig(const Json& document, const std::string& path) {
   auto errors = validateSchema(document, kGatewaySchema, path);
   GatewayConfig config;
-  // Each section by itself; what is of a wrong type the schema has told, and better.
-  auto read = [&](const char* name, auto&& section) {
+  // Reads one section. Where the schema has found errors already, a value of the wrong type is among them, so
+  // it is not reported again.
+  auto readSection = [&](const char* name, auto&& reader) {
     if (!document.is_object() || !document.contains(name))
       return;
     try {
-      section(Section(document[name], name));
-    } catch (const std::invalid_argument& fault) {
+      reader(Section(document[name], name));
+    } catch (const std::invalid_argument& error) {
       if (errors.empty())
-        errors.push_back(path + ": " + fault.what());
-    } catch (const Json::exception& fault) {
+        errors.push_back(path + ": " + error.what());
+    } catch (const Json::exception& error) {
       if (errors.empty())
-        errors.push_back(path + ": " + name + ": " + fault.what());
+        errors.push_back(path + ": " + name + ": " + error.what());
     }
   };
-  read("budgets", [&](const Section& section) {
+  readSection("budgets", [&](const Section& section) {
     config.budgets = readBudgetSettings(section);
-    for (auto& fault : budget::validate(*config.budgets))
-      errors.push_back(path + ": budgets." + fault.key + ": " + fault.message);
+    for (auto& error : budget::validate(*config.budgets))
+      errors.push_back(path + ": budgets." + error.key + ": " + error.message);
   });
-  read("members", [&](const Section& section) {
+  readSection("members", [&](const Section& section) {
     config.members = readMembershipSettings(section);
-    auto rows = section.items("peers");
-    for (size_t i = 0; i < rows.size(); ++i)
-      if (auto at = rows[i].required<std::string>("at"); !parseAddress(at))
-        errors.push_back(path + ": " + rows[i].pathOf("at") + ": found '" + at +
+    auto peers = section.items("peers");
+    for (size_t i = 0; i < peers.size(); ++i)
+      if (auto address = peers[i].required<std::string>("at"); !parseAddress(address))
+        errors.push_back(path + ": " + peers[i].pathOf("at") + ": found '" + address +
                          "'; allowed is an IPv4 address and a port");
     for (auto& error : members::validate(*config.members))
       errors.push_back(path + ": members." + error.key + ": " + error.message);
   });
-  read("shared", [&](const Section& section) {
+  readSection("shared", [&](const Section& section) {
     if (!config.members || !config.budgets) {
       errors.push_back(path +
                        ": shared: needs the sections members and budgets: they say with whom and what");
@@ -140,7 +142,7 @@
       errors.push_back(path +
                        ": shared: budgets name no guarantee and no ceiling in cores: nothing is shared");
   });
-  read("view", [&](const Section& section) {
+  readSection("view", [&](const Section& section) {
     config.subset = readSubsetSettings(section);
     for (auto& error : view::validate(*config.subset))
       errors.push_back(path + ": view." + error.key + ": " + error.message);
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -1,5 +1,5 @@
-// What is ours beside what the platform hands over: a second file, one object a subsystem. The schema in
-// schemas/gateway.schema.json says what may stand in it.
+// The gateway's own configuration file, in addition to the one that the platform provides: one object for
+// each subsystem, validated against schemas/gateway.schema.json.
 #pragma once
 #include <optional>
 #include <string>
@@ -13,22 +13,22 @@
 namespace elmcleat {
 
 struct GatewayConfig {
-  std::optional<budget::BudgetSettings> budgets;       // none: the module's own turns decide alone
-  std::optional<members::MembershipSettings> members;  // none: this process speaks with no other
-  std::optional<shared::LeaseSettings> leases;         // none: budgets are divided equally; else by loans
-  std::optional<view::SubsetSettings> subset;          // none: this process uses all engines of the list
+  std::optional<budget::BudgetSettings> budgets;       // none: only the policy's own turns apply
+  std::optional<members::MembershipSettings> members;  // none: this process communicates with no other
+  std::optional<shared::LeaseSettings> leases;         // none: budgets are divided equally; else by leases
+  std::optional<view::SubsetSettings> subset;          // none: this process uses all listed engines
 };
 
-// Throws ValidationErrors, with all that is wrong.
+// Throws ValidationErrors with all errors. `path` is the file's name in the messages.
 GatewayConfig readGatewayConfig(const std::string& path);
 GatewayConfig readGatewayConfig(const Json& document, const std::string& path);
 
-// The sections by themselves; the laboratory's scenarios hold them too.
+// Single sections; the laboratory's scenarios contain them too.
 budget::BudgetSettings readBudgetSettings(const Section& section);
 members::MembershipSettings readMembershipSettings(const Section& section);
 view::SubsetSettings readSubsetSettings(const Section& section);
-// Members and amounts are those of the whole fleet.
-shared::LeaseSettings readLeaseSettings(const Section& section, int members,
+// `memberCount` and the amounts in `budgets` are those of the whole fleet.
+shared::LeaseSettings readLeaseSettings(const Section& section, int memberCount,
                                         const budget::BudgetSettings& budgets);
 
 }  // namespace elmcleat
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -12,73 +12,78 @@
 namespace elmcleat {
 namespace {
 
-std::string joined(const std::vector<std::string>& lines) {
+std::string joinLines(const std::vector<std::string>& lines) {
   std::string text;
   for (auto& line : lines)
     text += (text.empty() ? "" : "\n") + line;
   return text;
 }
 
-// Edits between two words (Levenshtein).
-size_t apart(const std::string& a, const std::string& b) {
+// The Levenshtein distance of two words.
+size_t editDistance(const std::string& a, const std::string& b) {
   std::vector<size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), 0);
   for (size_t i = 1; i <= a.size(); ++i) {
-    size_t corner = std::exchange(row[0], i);
+    size_t diagonal = std::exchange(row[0], i);
     for (size_t j = 1; j <= b.size(); ++j)
-      corner = std::exchange(row[j], std::min({row[j] + 1, row[j - 1] + 1, corner + (a[i - 1] != b[j - 1])}));
+      diagonal =
+          std::exchange(row[j], std::min({row[j] + 1, row[j - 1] + 1, diagonal + (a[i - 1] != b[j - 1])}));
   }
   return row.back();
 }
 
-const Json& resolved(const Json& schema, const Json& root) {
+// The schema itself, or the one that its `$ref` points to.
+const Json& resolveReference(const Json& schema, const Json& root) {
   auto ref = schema.find("$ref");
   return ref == schema.end() ? schema : root.at(Json::json_pointer(ref->get<std::string>().substr(1)));
 }
 
-std::string shown(const Json& value) {
+// The value as JSON, shortened to at most 60 characters.
+std::string abbreviated(const Json& value) {
   std::string text = value.dump(-1, ' ', false, Json::error_handler_t::replace);
   return text.size() <= 60 ? text : text.substr(0, 57) + "...";
 }
 
-// Unknown keys, with the nearest known one: the library only says that there is one.
-void unknownKeys(const Json& value, const Json& given, const Json& root, const std::string& key,
-                 const std::string& path, std::vector<std::string>& faults) {
-  const Json& schema = resolved(given, root);
+// Reports unknown keys, each with the nearest known one: the library only reports that an object has some.
+void findUnknownKeys(const Json& value, const Json& schemaOrReference, const Json& root,
+                     const std::string& key, const std::string& path, std::vector<std::string>& errors) {
+  const Json& schema = resolveReference(schemaOrReference, root);
   if (value.is_array() && schema.contains("items")) {
     for (size_t i = 0; i < value.size(); ++i)
-      unknownKeys(value[i], schema["items"], root, key + "[" + std::to_string(i) + "]", path, faults);
+      findUnknownKeys(value[i], schema["items"], root, key + "[" + std::to_string(i) + "]", path, errors);
   }
   if (!value.is_object() || !schema.contains("properties"))
     return;
-  const Json& known = schema["properties"];
-  for (auto& [name, part] : value.items()) {
-    std::string full = key.empty() ? name : key + "." + name;
-    if (known.contains(name)) {
-      unknownKeys(part, known[name], root, full, path, faults);
+  const Json& properties = schema["properties"];
+  for (auto& [name, member] : value.items()) {
+    std::string memberKey = key.empty() ? name : key + "." + name;
+    if (properties.contains(name)) {
+      findUnknownKeys(member, properties[name], root, memberKey, path, errors);
       continue;
     }
     std::string nearest;
-    for (auto& [other, rest] : known.items())
-      if (nearest.empty() || apart(name, other) < apart(name, nearest))
-        nearest = other;
-    faults.push_back(path + ": " + full + ": is no key here; the nearest known one is '" + nearest + "'");
+    for (auto& [known, definition] : properties.items())
+      if (nearest.empty() || editDistance(name, known) < editDistance(name, nearest))
+        nearest = known;
+    errors.push_back(path + ": " + memberKey + ": is no key here; the nearest known one is '" + nearest +
+                     "'");
   }
 }
 
-std::string allowed(const Json& schema) {
-  Json told = Json::object();
+// The constraints of a schema, as JSON.
+std::string constraintsOf(const Json& schema) {
+  Json constraints = Json::object();
   for (auto name : {"type", "enum", "minimum", "maximum", "exclusiveMinimum", "exclusiveMaximum", "minLength",
                     "maxLength", "pattern", "required", "maxItems"})
     if (schema.contains(name))
-      told[name] = schema[name];
-  return told.dump();
+      constraints[name] = schema[name];
+  return constraints.dump();
 }
 
 }  // namespace
 
-ValidationErrors::ValidationErrors(std::vector<std::string> all)
-    : std::runtime_error(joined(all)), messages(std::move(all)) {}
+ValidationErrors::ValidationErrors(std::vector<std::string> errors)
+    : std::runtime_error(joinLines(errors)), messages(std::move(errors)) {}
 
 Json readJson(const std::string& path) {
   std::ifstream file(path);
@@ -86,16 +91,16 @@
     throw ValidationErrors({path + ": can't be read"});
   try {
     return Json::parse(file);
-  } catch (const Json::exception& fault) {
-    throw ValidationErrors({path + ": is no JSON: " + fault.what()});
+  } catch (const Json::exception& error) {
+    throw ValidationErrors({path + ": is no JSON: " + error.what()});
   }
 }
 
 std::vector<std::string> validateSchema(const Json& document, const char* schemaText,
                                         const std::string& path) {
   Json schemaJson = Json::parse(schemaText);
-  std::vector<std::string> faults;
-  unknownKeys(document, schemaJson, schemaJson, "", path, faults);
+  std::vector<std::string> errors;
+  findUnknownKeys(document, schemaJson, schemaJson, "", path, errors);
 
   valijson::Schema schema;
   valijson::SchemaParser parser;
@@ -104,49 +109,56 @@
   valijson::Validator validator;
   valijson::ValidationResults results;
   if (validator.validate(schema, documentAdapter, &results))
-    return faults;
-  std::set<std::string> told;
-  valijson::ValidationResults::Error error;
-  std::vector<valijson::ValidationResults::Error> errors;
-  while (results.popError(error))
-    errors.push_back(error);
-  for (auto& [place, what] :
-       errors) {  // the deepest place of each fault, with what stands and what may stand there
-    bool missing = what.starts_with("Missing required property");
-    bool deeper = std::ranges::any_of(errors, [&](auto& other) {
-      return other.context.size() > place.size() &&
-             std::equal(place.begin(), place.end(), other.context.begin());
+    return errors;
+  std::set<std::string> messages;
+  valijson::ValidationResults::Error result;
+  std::vector<valijson::ValidationResults::Error> found;
+  while (results.popError(result))
+    found.push_back(result);
+  // The library reports an error for each enclosing value too. Only the innermost one is kept.
+  for (auto& [context, description] : found) {
+    bool missing = description.starts_with("Missing required property");
+    bool deeper = std::ranges::any_of(found, [&](auto& other) {
+      return other.context.size() > context.size() &&
+             std::equal(context.begin(), context.end(), other.context.begin());
     });
     if (deeper && !missing)
       continue;
     const Json* value = &document;
-    const Json* at = &resolved(schemaJson, schemaJson);
+    const Json* schemaAt = &resolveReference(schemaJson, schemaJson);
     std::string key;
-    for (size_t i = 1; i < place.size(); ++i) {  // steps are written [name] and [3]
-      std::string step = place[i].substr(1, place[i].size() - 2);
+    // Follow the error's location through the document and the schema; the library writes each step as [name]
+    // or [3].
+    for (size_t i = 1; i < context.size(); ++i) {
+      std::string step = context[i].substr(1, context[i].size() - 2);
       if (value->is_array()) {
         key += "[" + step + "]";
-        value = &value->at(std::stoul(step)), at = &resolved((*at)["items"], schemaJson);
+        value = &value->at(std::stoul(step));
+        schemaAt = &resolveReference((*schemaAt)["items"], schemaJson);
       } else {
-        if (!value->contains(step) || !at->contains("properties") || !(*at)["properties"].contains(step))
+        if (!value->contains(step) || !schemaAt->contains("properties") ||
+            !(*schemaAt)["properties"].contains(step))
           break;
         key += (key.empty() ? "" : ".") + step;
-        value = &(*value)[step], at = &resolved((*at)["properties"][step], schemaJson);
+        value = &(*value)[step];
+        schemaAt = &resolveReference((*schemaAt)["properties"][step], schemaJson);
       }
     }
-    std::string head = path + ": " + (key.empty() ? "the document" : key) + ": ";
+    std::string prefix = path + ": " + (key.empty() ? "the document" : key) + ": ";
     if (missing) {
-      told.insert(head + "found " + shown(*value) + "; " + what.substr(0, what.size() - 1));
+      messages.insert(prefix + "found " + abbreviated(*value) + "; " +
+                      description.substr(0, description.size() - 1));
       continue;
     }
-    bool unknown = std::ranges::any_of(faults, [&](auto& line) {  // told above, and better
-      return line.starts_with(path + ": " + key + (key.empty() ? "" : "."));
+    // An unknown key has already been reported above, in more detail.
+    bool hasUnknownKey = std::ranges::any_of(errors, [&](auto& message) {
+      return message.starts_with(path + ": " + key + (key.empty() ? "" : "."));
     });
-    if (!unknown)
-      told.insert(head + "found " + shown(*value) + "; allowed is " + allowed(*at));
+    if (!hasUnknownKey)
+      messages.insert(prefix + "found " + abbreviated(*value) + "; allowed is " + constraintsOf(*schemaAt));
   }
-  faults.insert(faults.end(), told.begin(), told.end());
-  return faults;
+  errors.insert(errors.end(), messages.begin(), messages.end());
+  return errors;
 }
 
 }  // namespace elmcleat
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -100,15 +100,15 @@
   settings.sendsPerConnection = limits.required<int>("streamsPerConn");
   if (settings.sendsPerConnection < 1)
     limits.fail("streamsPerConn", "must be at least 1");
-  auto span = [&](const char* key) {
+  auto positiveDuration = [&](const char* key) {
     limits.required<double>(key);
-    double time = limits.seconds(key);
-    if (!(time > 0))
+    double duration = limits.seconds(key);
+    if (!(duration > 0))
       limits.fail(key, "must be above 0");
-    return time;
+    return duration;
   };
-  settings.connectTimeout = span("connectTimeoutUs");
-  settings.idleTimeout = span("connIdleUs");
+  settings.connectTimeout = positiveDuration("connectTimeoutUs");
+  settings.idleTimeout = positiveDuration("connIdleUs");
   settings.statusInterval = config.subsection("specifics").seconds("progressPaceUs");
   settings.loadReports = config.subsection("report").get<std::string>("how", "off") != "off";
   return settings;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,5 @@
-// The settings of a deployment, as in the simulator's first message and the dispatcher's configuration.
+// Reads the settings of a deployment, as the simulator's first message and the dispatcher's configuration
+// hold them.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,15 +9,17 @@
 
 namespace elmcleat {
 
-// What the connections need of the settings, beside the module's own.
+// The settings of connections to engines; the policy's own are in Settings.
 struct ConnectionSettings {
-  std::vector<std::string> zones, kinds;  // as records of the change log number them
+  // In the order in which records of the change log number them.
+  std::vector<std::string> zones, kinds;
   int sendsPerConnection = 1;
   double connectTimeout = 0, idleTimeout = 0;  // seconds
-  double statusInterval = 0;                   // between notes on a send; 0: there are none
+  double statusInterval = 0;                   // seconds between status updates on a send; 0: there are none
   bool loadReports = false;                    // a probe may ask for a load report
 };
 
+// Both throw std::invalid_argument, which names the invalid key.
 Settings readSettings(const Section& config);
 ConnectionSettings readConnectionSettings(const Section& config);
 
--- a/src/runtime/scheduler.h
+++ b/src/runtime/scheduler.h
@@ -30,9 +30,8 @@
     std::suspend_always initial_suspend() noexcept { return {}; }
     std::suspend_always final_suspend() noexcept { return {}; }
     void return_void() {}
-    void unhandled_exception() {
-      std::terminate();
-    }  // actors catch the exceptions that their input may cause
+    // Never reached: actors catch the exceptions that their input may cause.
+    void unhandled_exception() { std::terminate(); }
   };
 
   Task() = default;
