--- a/bench/members_bench.cpp
+++ b/bench/members_bench.cpp
@@ -1,5 +1,6 @@
-// Membership at size, in virtual time: how long until all agree, what it costs a member in bytes and processor time.
-// Real cores and the real wire format; delays of 0.5 to 3 ms on the way. Prints one table; takes a minute or so.
+// Membership by fleet size, in virtual time: seconds until all members agree, and the cost of a member in
+// bytes and CPU time. Uses the real Membership and message codec, with delays of 0.5 to 3 ms. Prints one
+// table; takes about a minute.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -12,18 +13,29 @@
 
 namespace {
 
-// The median and the longest of several; a negative one counts as never.
+constexpr double kConvergenceTimeout = 30;
+constexpr double kPause = 5;  // between measurements
+constexpr double kQuietDuration = 10;
+constexpr double kPartitionDuration = 30;
+constexpr double kWindow = 5;  // over which the worst traffic is taken
+
+// Median and maximum of several times. A negative time counts as infinite.
 struct Times {
-  std::vector<double> all;
-  void add(double time) { all.push_back(time < 0 ? 1e9 : time), std::ranges::sort(all); }
-  double half() const { return all[all.size() / 2]; }
-  double most() const { return all.back(); }
+  std::vector<double> sorted;
+  void add(double time) {
+    sorted.push_back(time < 0 ? 1e9 : time);
+    std::ranges::sort(sorted);
+  }
+  double median() const { return sorted[sorted.size() / 2]; }
+  double maximum() const { return sorted.back(); }
 };
 
 }  // namespace
 
-int main(int count, char** words) {
-  int seeds = count > 1 ? std::atoi(words[1]) : 5, largest = count > 2 ? std::atoi(words[2]) : 1024;
+// Arguments: the number of seeds, and the largest fleet.
+int main(int count, char** arguments) {
+  int seeds = count > 1 ? std::atoi(arguments[1]) : 5;
+  int largest = count > 2 ? std::atoi(arguments[2]) : 1024;
   std::printf(
       "| members | start | one dies | one comes back | a tenth dies | seven in ten die | a third cut 30 s: "
       "agreed again | quiet: "
@@ -32,56 +44,92 @@
   for (int size : {10, 100, 300, 1024}) {
     if (size > largest)
       break;
-    Times start, dies, back, tenth, most, healed;
-    double quietBytes = 0, quietCpu = 0, worst = 0, streams = 0;
+    Times start;
+    Times crash;
+    Times restart;
+    Times tenthCrash;
+    Times mostCrash;
+    Times healed;
+    double quietRate = 0;
+    double quietCpu = 0;
+    double worstRate = 0;
+    double streams = 0;
     int downs = 0;
     for (int seed = 1; seed <= seeds; ++seed) {
       MembershipSimulation fleet(MembershipSimulation::settingsFor(size), uint64_t(seed));
-      auto rate = [&](double span) { return double(fleet.bytes()) / size / span / 1000; };
-      auto busiest = [&](double took) {
-        if (took < 0)
+      auto rate = [&](double seconds) { return double(fleet.bytes()) / size / seconds / 1000; };  // KB/s
+      auto recordWorst = [&](double seconds) {
+        if (seconds < 0)
           return;
-        fleet.run(fleet.now() + std::max(5 - took, 0.0));
-        worst = std::max(worst, rate(std::max(5.0, took)));
-        streams += double(fleet.streams()) / size, downs += fleet.downDetections();
+        fleet.run(fleet.now() + std::max(kWindow - seconds, 0.0));
+        worstRate = std::max(worstRate, rate(std::max(kWindow, seconds)));
+        streams += double(fleet.streams()) / size;
+        downs += fleet.downDetections();
       };
       fleet.startAll();
-      double took = fleet.runUntilConverged(30);
-      start.add(took), busiest(took);
-      fleet.run(fleet.now() + 5), fleet.reset();
-      fleet.run(fleet.now() + 10);
-      quietBytes += rate(10) / seeds, quietCpu += fleet.cpu() / size / 10 / seeds;
+      double seconds = fleet.runUntilConverged(kConvergenceTimeout);
+      start.add(seconds);
+      recordWorst(seconds);
+      fleet.run(fleet.now() + kPause);
+      fleet.reset();
+      fleet.run(fleet.now() + kQuietDuration);
+      quietRate += rate(kQuietDuration) / seeds;
+      quietCpu += fleet.cpu() / size / kQuietDuration / seeds;
       downs += fleet.downDetections();
-      fleet.reset(), fleet.kill(1), took = fleet.runUntilConverged(30), dies.add(took), busiest(took);
-      fleet.run(fleet.now() + 5), fleet.reset();
-      fleet.start(1), took = fleet.runUntilConverged(30), back.add(took), busiest(took);
-      fleet.run(fleet.now() + 5), fleet.reset();
+      fleet.reset();
+      fleet.kill(1);
+      seconds = fleet.runUntilConverged(kConvergenceTimeout);
+      crash.add(seconds);
+      recordWorst(seconds);
+      fleet.run(fleet.now() + kPause);
+      fleet.reset();
+      fleet.start(1);
+      seconds = fleet.runUntilConverged(kConvergenceTimeout);
+      restart.add(seconds);
+      recordWorst(seconds);
+      fleet.run(fleet.now() + kPause);
+      fleet.reset();
       for (int i = 2; i < 2 + size / 10; ++i)
         fleet.kill(i);
-      took = fleet.runUntilConverged(30), tenth.add(took), busiest(took);
+      seconds = fleet.runUntilConverged(kConvergenceTimeout);
+      tenthCrash.add(seconds);
+      recordWorst(seconds);
       for (int i = 2; i < 2 + size / 10; ++i)
         fleet.start(i);
-      fleet.runUntilConverged(30), fleet.run(fleet.now() + 5), fleet.reset();
+      fleet.runUntilConverged(kConvergenceTimeout);
+      fleet.run(fleet.now() + kPause);
+      fleet.reset();
       for (int i = 0; i < size * 7 / 10; ++i)
         fleet.kill(i);
-      took = fleet.runUntilConverged(30), most.add(took), busiest(took), fleet.reset();
+      seconds = fleet.runUntilConverged(kConvergenceTimeout);
+      mostCrash.add(seconds);
+      recordWorst(seconds);
+      fleet.reset();
       for (int i = 0; i < size * 7 / 10; ++i)
         fleet.start(i);
-      fleet.runUntilConverged(30), fleet.run(fleet.now() + 5);
+      fleet.runUntilConverged(kConvergenceTimeout);
+      fleet.run(fleet.now() + kPause);
       std::vector<int> third;
       for (int i = 0; i < size / 3; ++i)
         third.push_back(i);
-      fleet.partition(third), fleet.run(fleet.now() + 30), fleet.partition(third, false), fleet.reset();
-      took = fleet.runUntilConverged(30), healed.add(took), busiest(took);
-      if (!fleet.violation().empty())
-        return std::printf("seed %d: %s\n", seed, fleet.violation().c_str()), 1;
+      fleet.partition(third);
+      fleet.run(fleet.now() + kPartitionDuration);
+      fleet.partition(third, false);
+      fleet.reset();
+      seconds = fleet.runUntilConverged(kConvergenceTimeout);
+      healed.add(seconds);
+      recordWorst(seconds);
+      if (!fleet.violation().empty()) {
+        std::printf("seed %d: %s\n", seed, fleet.violation().c_str());
+        return 1;
+      }
     }
     std::printf(
         "| %d | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.1f, %.1f | %.2f, %.5f | "
         "%.1f | %.1f | %d |\n",
-        size, start.half(), start.most(), dies.half(), dies.most(), back.half(), back.most(), tenth.half(),
-        tenth.most(), most.half(), most.most(), healed.half(), healed.most(), quietBytes, quietCpu, worst,
-        streams / seeds, downs);
+        size, start.median(), start.maximum(), crash.median(), crash.maximum(), restart.median(),
+        restart.maximum(), tenthCrash.median(), tenthCrash.maximum(), mostCrash.median(), mostCrash.maximum(),
+        healed.median(), healed.maximum(), quietRate, quietCpu, worstRate, streams / seeds, downs);
     std::fflush(stdout);
   }
   return 0;
--- a/src/lab/capacity_page.cpp
+++ b/src/lab/capacity_page.cpp
@@ -8,16 +8,17 @@
 namespace elmcleat::lab {
 namespace {
 
-constexpr char kBegin[] = "<!-- scale:", kEnd[] = "<!-- /scale -->";
+constexpr char kBegin[] = "<!-- scale:";
+constexpr char kEnd[] = "<!-- /scale -->";
 
-std::string shortly(double value) {  // three digits that count
+std::string formatRounded(double value) {  // to three significant digits; whole from 1000 on
   char text[32];
   std::snprintf(text, sizeof text, std::abs(value) >= 1000 || value == 0 ? "%.0f" : "%.3g", value);
   return text;
 }
-std::string shortly(const std::optional<double>& value) { return value ? shortly(*value) : "-"; }
+std::string formatRounded(const std::optional<double>& value) { return value ? formatRounded(*value) : "-"; }
 
-std::string growth(const Figure& figure) {
+std::string describeGrowth(const Figure& figure) {
   Fits fits = figure.fits();
   if (figure.xs.size() < 3)
     return "too few sizes";
@@ -25,54 +26,56 @@
     return "neither line nor power";
   bool line = fits.best == Growth::line;
   const Fit& fit = line ? *fits.line : *fits.power;
-  std::string form = line ? shortly(fit.a) + (fit.b < 0 ? " - " : " + ") + shortly(std::abs(fit.b)) + " x"
-                          : shortly(fit.a) + " x^" + shortly(fit.b);
-  return form + ", residual " + shortly(std::round(fit.residual * 1000) / 1000);
+  std::string form =
+      line ? formatRounded(fit.a) + (fit.b < 0 ? " - " : " + ") + formatRounded(std::abs(fit.b)) + " x"
+           : formatRounded(fit.a) + " x^" + formatRounded(fit.b);
+  return form + ", residual " + formatRounded(std::round(fit.residual * 1000) / 1000);
 }
 
-std::string nameOf(const std::string& name, const std::string& variant) {
+std::string titleOf(const std::string& name, const std::string& variant) {
   return variant.empty() ? name : name + ", " + variant;
 }
 
-std::string passed(const Figure& one) {
-  if (!one.limit || one.ys.empty())
+std::string describeLimitExceeded(const Figure& figure) {
+  if (!figure.limit || figure.ys.empty())
     return "-";
-  if (auto at = one.passedAt())
-    return (one.ys.front() > *one.limit ? "at or below " : "") + shortly(*at);
-  return "above " + shortly(one.xs.back());  // and no fit tells where
+  if (auto size = figure.limitExceededAt())
+    return (figure.ys.front() > *figure.limit ? "at or below " : "") + formatRounded(*size);
+  return "above " + formatRounded(figure.xs.back());  // and no fit says where
 }
 
-std::string rowOf(const Figure& one) {
+std::string rowOf(const Figure& figure) {
   std::ostringstream row;
-  row << "| " << nameOf(one.name, one.variant) << " (" << one.unit << ") | " << one.xName << " | ";
-  for (size_t i = 0; i < one.xs.size(); ++i)
-    row << (i ? "; " : "") << shortly(one.xs[i]) << ": " << shortly(one.ys[i]);
-  row << " | " << growth(one) << " | ";
-  if (one.target && one.atTarget())
-    row << shortly(*one.target) << ": " << shortly(one.atTarget())
-        << (one.measuredAtTarget() ? "" : " (fitted)");
+  row << "| " << titleOf(figure.name, figure.variant) << " (" << figure.unit << ") | " << figure.xName
+      << " | ";
+  for (size_t i = 0; i < figure.xs.size(); ++i)
+    row << (i ? "; " : "") << formatRounded(figure.xs[i]) << ": " << formatRounded(figure.ys[i]);
+  row << " | " << describeGrowth(figure) << " | ";
+  if (figure.target && figure.atTarget())
+    row << formatRounded(*figure.target) << ": " << formatRounded(figure.atTarget())
+        << (figure.measuredAtTarget() ? "" : " (fitted)");
   else
     row << "-";
-  row << " | " << shortly(one.limit) << " | " << passed(one) << " |\n";
+  row << " | " << formatRounded(figure.limit) << " | " << describeLimitExceeded(figure) << " |\n";
   return row.str();
 }
 
 }  // namespace
 
 std::string tableOf(const std::vector<FiguresFile>& files, const std::vector<std::string>& prefixes) {
-  auto named = [&](const std::string& name) {
+  auto isSelected = [&](const std::string& name) {
     return std::ranges::any_of(prefixes, [&](auto& prefix) { return name.starts_with(prefix); });
   };
   std::string rows;
   for (auto& file : files)
-    for (auto& one : file.figures)
-      if (named(one.name))
-        rows += rowOf(one);
+    for (auto& figure : file.figures)
+      if (isSelected(figure.name))
+        rows += rowOf(figure);
   for (auto& file : files)
-    for (auto& one : file.missing)
-      if (named(one.figure))
-        rows += "| " + nameOf(one.figure, one.variant) + " | " + shortly(one.x) +
-                " | not taken: " + one.reason + " | - | - | - | - |\n";
+    for (auto& run : file.missing)
+      if (isSelected(run.figure))
+        rows += "| " + titleOf(run.figure, run.variant) + " | " + formatRounded(run.x) +
+                " | not taken: " + run.reason + " | - | - | - | - |\n";
   if (rows.empty())
     return rows;
   return "| figure | by | measured | grows as | at target | limit | passed at |\n"
@@ -82,7 +85,8 @@
 
 std::string filled(const std::string& page, const std::vector<FiguresFile>& files) {
   std::istringstream in(page);
-  std::string out, line;
+  std::string out;
+  std::string line;
   for (size_t number = 1; std::getline(in, line); ++number) {
     out += line + "\n";
     if (!line.starts_with(kBegin))
@@ -91,7 +95,8 @@
     std::vector<std::string> prefixes;
     for (std::string word; words >> word && word != "-->";)
       prefixes.push_back(word);
-    std::string table = tableOf(files, prefixes), where = "line " + std::to_string(number) + ": ";
+    std::string table = tableOf(files, prefixes);
+    std::string where = "line " + std::to_string(number) + ": ";
     if (table.empty())
       throw ValidationErrors({where + "no figure has a name that begins so"});
     do {
@@ -105,14 +110,17 @@
 }
 
 std::optional<std::string> firstDifference(const std::string& page, const std::vector<FiguresFile>& files) {
-  std::istringstream has(page), wants(filled(page, files));
+  std::istringstream actualLines(page);
+  std::istringstream expectedLines(filled(page, files));
   for (size_t number = 1;; ++number) {
-    std::string found, wanted;
-    bool more = bool(std::getline(has, found)), due = bool(std::getline(wants, wanted));
-    if (!more && !due)
+    std::string actual;
+    std::string expected;
+    bool hasActual = bool(std::getline(actualLines, actual));
+    bool hasExpected = bool(std::getline(expectedLines, expected));
+    if (!hasActual && !hasExpected)
       return std::nullopt;
-    if (found != wanted)
-      return "line " + std::to_string(number) + " is\n  " + found + "\nand the figures say\n  " + wanted;
+    if (actual != expected)
+      return "line " + std::to_string(number) + " is\n  " + actual + "\nand the figures say\n  " + expected;
   }
 }
 
--- a/src/lab/capacity_page.h
+++ b/src/lab/capacity_page.h
@@ -1,5 +1,5 @@
-// The page of capacity: between `<!-- scale: NAME ... -->` and `<!-- /scale -->` stands a table of the
-// figures whose names begin so, made from figures files.
+// The capacity page: between `<!-- scale: PREFIX ... -->` and `<!-- /scale -->` it holds a table, generated
+// from figures files, of the figures whose names begin with one of the prefixes.
 #pragma once
 #include <optional>
 #include <string>
@@ -10,9 +10,10 @@
 namespace elmcleat::lab {
 
 std::string tableOf(const std::vector<FiguresFile>& files, const std::vector<std::string>& prefixes);
-// The page with all its tables made anew; ValidationErrors if one has no end, or names no figure at all.
+// The page with all its tables generated again. Throws ValidationErrors if a table has no end marker, or if
+// no figure has one of its prefixes.
 std::string filled(const std::string& page, const std::vector<FiguresFile>& files);
-// The first line that is not as the files have it: its number and both forms. Nothing: they agree.
+// The number and both forms of the first line that differs from the files; nothing if the page agrees.
 std::optional<std::string> firstDifference(const std::string& page, const std::vector<FiguresFile>& files);
 
 }  // namespace elmcleat::lab
--- a/src/lab/figures_file.cpp
+++ b/src/lab/figures_file.cpp
@@ -35,16 +35,17 @@
           {"fits", {{"line", jsonOf(fits.line)}, {"power", jsonOf(fits.power)}, {"best", nameOf(fits.best)}}},
           {"atTarget", jsonOf(figure.atTarget())},
           {"measuredAtTarget", figure.measuredAtTarget()},
-          {"passedAt", jsonOf(figure.passedAt())}};
+          {"passedAt", jsonOf(figure.limitExceededAt())}};
 }
 
 }  // namespace
 
-void Figure::take(double x, std::vector<double> all) {
-  repeats.push_back(all);
-  std::ranges::sort(all);
-  size_t n = all.size();
-  xs.push_back(x), ys.push_back((all[(n - 1) / 2] + all[n / 2]) / 2);
+void Figure::addSize(double x, std::vector<double> values) {
+  repeats.push_back(values);
+  std::ranges::sort(values);
+  size_t n = values.size();
+  xs.push_back(x);
+  ys.push_back((values[(n - 1) / 2] + values[n / 2]) / 2);  // median
 }
 
 bool Figure::measuredAtTarget() const { return target && std::ranges::find(xs, *target) != xs.end(); }
@@ -57,20 +58,20 @@
   return fits().at(*target);
 }
 
-std::optional<double> Figure::passedAt() const {
+std::optional<double> Figure::limitExceededAt() const {
   if (!limit || ys.empty())
     return std::nullopt;
   if (ys.front() > *limit)
-    return xs.front();  // at the least size already
+    return xs.front();  // already at the smallest size
   for (size_t i = 1; i < ys.size(); ++i)
     if (ys[i] > *limit)
       return xs[i - 1] + (xs[i] - xs[i - 1]) * (*limit - ys[i - 1]) / (ys[i] - ys[i - 1]);
-  auto at = fits().reaches(*limit);
-  // Far beyond what was measured no fit tells anything.
-  constexpr double kFarthest = 16;
-  if (!at || *at > kFarthest * xs.back())
+  auto size = fits().inverse(*limit);
+  // A fit says nothing about sizes far above the measured ones.
+  constexpr double kMaxExtrapolation = 16;  // times the largest measured size
+  if (!size || *size > kMaxExtrapolation * xs.back())
     return std::nullopt;
-  return std::max(*at, xs.back());
+  return std::max(*size, xs.back());
 }
 
 Json machineHere() {
@@ -83,12 +84,13 @@
 }
 
 void writeFigures(const std::string& path, const FiguresFile& file) {
-  Json figures = Json::array(), missing = Json::array();
+  Json figures = Json::array();
+  Json missing = Json::array();
   for (auto& figure : file.figures)
     figures.push_back(jsonOf(figure));
-  for (auto& one : file.missing)
+  for (auto& run : file.missing)
     missing.push_back(
-        {{"figure", one.figure}, {"variant", one.variant}, {"x", one.x}, {"reason", one.reason}});
+        {{"figure", run.figure}, {"variant", run.variant}, {"x", run.x}, {"reason", run.reason}});
   std::ofstream out(path);
   out << Json{{"machine", file.machine}, {"plan", file.plan}, {"figures", figures}, {"missing", missing}}
              .dump(1)
@@ -106,13 +108,14 @@
     return row[key].is_null() ? std::nullopt : std::optional(row[key].get<double>());
   };
   for (auto& row : document["figures"]) {
-    Figure& one = file.figures.emplace_back();
-    one.name = row["name"], one.variant = row["variant"], one.unit = row["unit"], one.xName = row["xName"];
-    one.xs = row["xs"].get<std::vector<double>>(), one.ys = row["ys"].get<std::vector<double>>();
-    one.repeats = row["repeats"].get<std::vector<std::vector<double>>>();
-    one.target = number(row, "target"), one.limit = number(row, "limit"), one.note = row["note"];
-    if (one.xs.size() != one.ys.size())
-      throw ValidationErrors({path + ": " + one.name + ": xs and ys differ in length"});
+    Figure& figure = file.figures.emplace_back();
+    figure.name = row["name"], figure.variant = row["variant"], figure.unit = row["unit"],
+    figure.xName = row["xName"];
+    figure.xs = row["xs"].get<std::vector<double>>(), figure.ys = row["ys"].get<std::vector<double>>();
+    figure.repeats = row["repeats"].get<std::vector<std::vector<double>>>();
+    figure.target = number(row, "target"), figure.limit = number(row, "limit"), figure.note = row["note"];
+    if (figure.xs.size() != figure.ys.size())
+      throw ValidationErrors({path + ": " + figure.name + ": xs and ys differ in length"});
   }
   for (auto& row : document["missing"])
     file.missing.push_back({row["figure"], row["variant"], row["reason"], row["x"].get<double>()});
--- a/src/lab/figures_file.h
+++ b/src/lab/figures_file.h
@@ -1,5 +1,6 @@
-// What a scale run has found, as a JSON file: figures by size, how they grow, where their limits are passed.
-// Whoever makes figures (the scale run, virtual time) writes this form; docs/CAPACITY.md is filled from it.
+// The results of scale runs as a JSON file: figures by size, how they grow, and the size at which they exceed
+// their limits. The scale run and the simulations in virtual time write it; docs/CAPACITY.md is generated
+// from it.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,32 +12,36 @@
 namespace elmcleat::lab {
 
 struct Figure {
-  std::string name;              // with dots, from what is general to what is special: control.quiet.cores
-  std::string variant;           // "off", "view"; empty: there is one alone
-  std::string unit;              // cores, MB, s, B/s, ...: of `ys`
-  std::string xName;             // what is varied: engines, dispatchers, connections, changes
-  std::vector<double> xs, ys{};  // sizes, ascending; the median of the repeats at each
-  std::vector<std::vector<double>> repeats{};  // at each size, if there is more than one
-  std::optional<double> target{}, limit{};     // the size that is coming; what the figure may be there
-  std::string note{};                          // conditions, or why nothing was taken
-
-  void take(double x, std::vector<double> all);  // the repeats at one size, greater than those before
+  std::string name;          // with dots, from the general to the specific: control.quiet.cores
+  std::string variant;       // "off", "view"; empty: there is only one
+  std::string unit;          // of `ys`: cores, MB, s, B/s, ...
+  std::string xName;         // the size that varies: engines, dispatchers, connections, changes
+  std::vector<double> xs;    // sizes, ascending
+  std::vector<double> ys{};  // the median of the repeats at each size
+  std::vector<std::vector<double>> repeats{};  // all values at each size, if there is more than one
+  std::optional<double> target{};              // the size that is planned for
+  std::optional<double> limit{};               // the largest acceptable value at that size
+  std::string note{};                          // conditions, or why there is no value
+
+  void addSize(double x, std::vector<double> values);  // `x` above all sizes before
   Fits fits() const { return fitsOf(xs, ys); }
-  // At the target: as measured there, or else as the fit has it; nothing where neither tells.
+  // The value at the target: measured there, or else from the fit; nothing if there is neither.
   std::optional<double> atTarget() const;
   bool measuredAtTarget() const;
-  // The size at which the limit is passed: between two sizes measured, or else where the fit has it. Nothing:
-  // at none.
-  std::optional<double> passedAt() const;
+  // The size at which the limit is exceeded: interpolated between two measured sizes, or else from the fit;
+  // nothing if it is not.
+  std::optional<double> limitExceededAt() const;
 };
 
-struct Missing {  // a run that failed, or was not made
-  std::string figure, variant, reason;
+struct Missing {  // a run that failed or was not made
+  std::string figure;
+  std::string variant;
+  std::string reason;
   double x = 0;
 };
 
 struct FiguresFile {
-  Json machine = Json::object();  // cores, memoryMb, program, ...: what figures depend on
+  Json machine = Json::object();  // what figures depend on: cores, memoryMb, program, ...
   Json plan = Json::object();
   std::vector<Figure> figures;
   std::vector<Missing> missing;
--- a/src/lab/fit.cpp
+++ b/src/lab/fit.cpp
@@ -6,26 +6,37 @@
 namespace elmcleat::lab {
 namespace {
 
-// Least squares; `residual` is not relative yet.
+// Ordinary least squares. `residual` is absolute here.
 std::optional<Fit> leastSquares(const std::vector<double>& xs, const std::vector<double>& ys) {
   size_t n = std::min(xs.size(), ys.size());
   if (n < 3)
     return std::nullopt;
-  double mx = 0, my = 0, xx = 0, xy = 0, yy = 0, left = 0;
-  for (size_t i = 0; i < n; ++i)
-    mx += xs[i] / double(n), my += ys[i] / double(n);
+  double meanX = 0;
+  double meanY = 0;
+  for (size_t i = 0; i < n; ++i) {
+    meanX += xs[i] / double(n);
+    meanY += ys[i] / double(n);
+  }
+  double sumXX = 0;
+  double sumXY = 0;
+  double sumYY = 0;
   for (size_t i = 0; i < n; ++i) {
-    double x = xs[i] - mx, y = ys[i] - my;
-    xx += x * x, xy += x * y, yy += y * y;
+    double x = xs[i] - meanX;
+    double y = ys[i] - meanY;
+    sumXX += x * x;
+    sumXY += x * y;
+    sumYY += y * y;
   }
-  if (xx <= 0)
+  if (sumXX <= 0)
     return std::nullopt;
   Fit fit;
-  fit.b = xy / xx, fit.a = my - fit.b * mx;
+  fit.b = sumXY / sumXX;
+  fit.a = meanY - fit.b * meanX;
+  double residualSum = 0;
   for (size_t i = 0; i < n; ++i)
-    left += std::pow(ys[i] - fit.a - fit.b * xs[i], 2);
-  fit.r2 = yy > 0 ? 1 - left / yy : 1;
-  fit.residual = std::sqrt(left / double(n));
+    residualSum += std::pow(ys[i] - fit.a - fit.b * xs[i], 2);
+  fit.r2 = sumYY > 0 ? 1 - residualSum / sumYY : 1;
+  fit.residual = std::sqrt(residualSum / double(n));
   return fit;
 }
 
@@ -42,13 +53,15 @@
 }
 
 std::optional<Fit> fitPower(const std::vector<double>& xs, const std::vector<double>& ys) {
-  std::vector<double> lx, ly;
+  std::vector<double> logX;
+  std::vector<double> logY;
   for (size_t i = 0; i < std::min(xs.size(), ys.size()); ++i) {
     if (!(xs[i] > 0) || !(ys[i] > 0))
       return std::nullopt;
-    lx.push_back(std::log(xs[i])), ly.push_back(std::log(ys[i]));
+    logX.push_back(std::log(xs[i]));
+    logY.push_back(std::log(ys[i]));
   }
-  auto fit = leastSquares(lx, ly);
+  auto fit = leastSquares(logX, logY);
   if (fit)
     fit->a = std::exp(fit->a);
   return fit;
@@ -62,7 +75,7 @@
   return std::nullopt;
 }
 
-std::optional<double> Fits::reaches(double y) const {
+std::optional<double> Fits::inverse(double y) const {
   double x = -1;
   if (best == Growth::line && line->b > 0)
     x = (y - line->a) / line->b;
@@ -73,9 +86,9 @@
 
 Fits fitsOf(const std::vector<double>& xs, const std::vector<double>& ys) {
   Fits fits{fitLine(xs, ys), fitPower(xs, ys), Growth::none};
-  double line = fits.line ? fits.line->residual : HUGE_VAL,
-         power = fits.power ? fits.power->residual : HUGE_VAL;
-  if (std::min(line, power) <= kMostResidual)
+  double line = fits.line ? fits.line->residual : HUGE_VAL;
+  double power = fits.power ? fits.power->residual : HUGE_VAL;
+  if (std::min(line, power) <= kMaxResidual)
     fits.best = power < line ? Growth::power : Growth::line;
   return fits;
 }
--- a/src/lab/hollow.cpp
+++ b/src/lab/hollow.cpp
@@ -12,6 +12,11 @@
 #include "runtime/stream.h"
 
 namespace elmcleat::lab {
+namespace {
+
+constexpr unsigned kMaxLifetimeSeconds = 1800;
+
+}  // namespace
 
 void endWith(pid_t parent, unsigned seconds) {
   prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -29,7 +34,7 @@
   if (pid_ < 0)
     throw std::system_error(errno, std::generic_category(), "fork");
   if (pid_ == 0) {
-    endWith(parent, 1800);
+    endWith(parent, kMaxLifetimeSeconds);
     ::close(ends[0]);
     body(ends[1]);
     _exit(0);
@@ -42,17 +47,17 @@
   waitpid(pid_, nullptr, 0);
   ::close(orders_);
 }
-void Child::tell(const std::string& line) const {
+void Child::order(const std::string& line) const {
   std::string bytes = line + "\n";
   (void)!send(orders_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
 }
 
 uint16_t portOf(int listener) {
-  sockaddr_in at{};
-  socklen_t size = sizeof at;
-  getsockname(listener, reinterpret_cast<sockaddr*>(&at), &size);
-  return ntohs(at.sin_port);
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  getsockname(listener, reinterpret_cast<sockaddr*>(&address), &size);
+  return ntohs(address.sin_port);
 }
-int listenAnywhere() { return listenOn({INADDR_ANY, 0}); }
+int listenOnFreePort() { return listenOn({INADDR_ANY, 0}); }
 
 }  // namespace elmcleat::lab
--- a/src/lab/hollow_loop.h
+++ b/src/lab/hollow_loop.h
@@ -1,6 +1,6 @@
-// What hollow processes are built on: one epoll, level by level, with a function for each descriptor; no
-// coroutine, no buffer beyond what a line takes, so that tens of thousands of ends cost little beside what is
-// measured.
+// Event loop of the simulated processes: one level-triggered epoll with a function for each descriptor. There
+// are no coroutines and no buffers beyond a line, so that tens of thousands of connections cost little beside
+// the processes that are measured.
 #pragma once
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -22,86 +22,91 @@
 
 namespace elmcleat::lab {
 
-constexpr double kTick = 0.002;
+constexpr double kTickSeconds = 0.002;
 
-// One epoll, level by level, and what is done when a descriptor has news.
 class Loop {
  public:
   Loop() : epoll_(epoll_create1(EPOLL_CLOEXEC)) {}
   ~Loop() { ::close(epoll_); }
-  using Act = std::function<void(uint32_t events)>;
-  void watch(int fd, Act act, uint32_t events = EPOLLIN) {
+  using Handler = std::function<void(uint32_t events)>;
+  using OrderHandler = std::function<void(const std::string& verb, std::istringstream& arguments)>;
+
+  void watch(int fd, Handler handler, uint32_t events = EPOLLIN) {
     epoll_event event{events, {}};
     event.data.fd = fd;
     epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
-    if (size_t(fd) >= acts_.size())
-      acts_.resize(size_t(fd) + 1);
-    acts_[size_t(fd)] = std::make_shared<Act>(std::move(act));
+    if (size_t(fd) >= handlers_.size())
+      handlers_.resize(size_t(fd) + 1);
+    handlers_[size_t(fd)] = std::make_shared<Handler>(std::move(handler));
   }
-  void want(int fd, uint32_t events) {
+  void setEvents(int fd, uint32_t events) {
     epoll_event event{events, {}};
     event.data.fd = fd;
     epoll_ctl(epoll_, EPOLL_CTL_MOD, fd, &event);
   }
-  void close(int fd, bool hard = false) {
-    linger at{1, 0};
-    if (hard)
-      setsockopt(fd, SOL_SOCKET, SO_LINGER, &at, sizeof at);
+  // `reset`: with RST in place of FIN.
+  void close(int fd, bool reset = false) {
+    linger noLinger{1, 0};
+    if (reset)
+      setsockopt(fd, SOL_SOCKET, SO_LINGER, &noLinger, sizeof noLinger);
     ::close(fd);
-    if (size_t(fd) < acts_.size())
-      acts_[size_t(fd)].reset();
+    if (size_t(fd) < handlers_.size())
+      handlers_[size_t(fd)].reset();
   }
-  [[noreturn]] void run(const std::function<void(double now)>& tick, double each = kTick) {
+  // Handles events, and calls `tick` every `interval` seconds.
+  [[noreturn]] void run(const std::function<void(double now)>& tick, double interval = kTickSeconds) {
     epoll_event events[256];
     for (double next = 0;;) {
-      int wait = std::max(0, int(std::ceil((next - secondsNow()) * 1e3)));
-      int count = epoll_wait(epoll_, events, 256, wait);
+      int timeoutMs = std::max(0, int(std::ceil((next - secondsNow()) * 1e3)));
+      int count = epoll_wait(epoll_, events, 256, timeoutMs);
       for (int i = 0; i < count; ++i)
-        if (auto act = acts_[size_t(events[i].data.fd)])
-          (*act)(events[i].events);
-      if (double now = secondsNow(); now >= next)
-        tick(now), next = now + each;
+        if (auto handler = handlers_[size_t(events[i].data.fd)])
+          (*handler)(events[i].events);
+      if (double now = secondsNow(); now >= next) {
+        tick(now);
+        next = now + interval;
+      }
     }
   }
-  // Lines of orders, each a word and its rest.
-  void heed(int orders, std::function<void(const std::string&, std::istringstream&)> act) {
-    watch(orders, [orders, act = std::move(act), kept = std::string()](uint32_t) mutable {
-      char part[512];
-      ssize_t got = ::read(orders, part, sizeof part);
-      if (got <= 0)
+  // Reads orders, one a line: a verb and its arguments. The process exits at the end of the stream.
+  void readOrders(int orders, OrderHandler handler) {
+    watch(orders, [orders, handler = std::move(handler), buffer = std::string()](uint32_t) mutable {
+      char chunk[512];
+      ssize_t count = ::read(orders, chunk, sizeof chunk);
+      if (count <= 0)
         _exit(0);
-      kept.append(part, size_t(got));
-      for (size_t end; (end = kept.find('\n')) != std::string::npos; kept.erase(0, end + 1)) {
-        std::istringstream line(kept.substr(0, end));
-        std::string word;
-        line >> word;
-        act(word, line);
+      buffer.append(chunk, size_t(count));
+      for (size_t end; (end = buffer.find('\n')) != std::string::npos; buffer.erase(0, end + 1)) {
+        std::istringstream line(buffer.substr(0, end));
+        std::string verb;
+        line >> verb;
+        handler(verb, line);
       }
     });
   }
 
  private:
   int epoll_;
-  std::vector<std::shared_ptr<Act>> acts_;
+  std::vector<std::shared_ptr<Handler>> handlers_;
 };
 
-// Appends what there is to be read; false at the end.
-inline bool readAll(int fd, std::string& bytes) {
-  char part[16384];
-  for (ssize_t got; (got = recv(fd, part, sizeof part, MSG_DONTWAIT)) != 0;) {
-    if (got < 0)
+// Appends what can be read without blocking; false if the connection is closed or has failed.
+inline bool readAvailable(int fd, std::string& bytes) {
+  char chunk[16384];
+  for (ssize_t count; (count = recv(fd, chunk, sizeof chunk, MSG_DONTWAIT)) != 0;) {
+    if (count < 0)
       return errno == EAGAIN || errno == EINTR;
-    bytes.append(part, size_t(got));
-    if (size_t(got) < sizeof part)
+    bytes.append(chunk, size_t(count));
+    if (size_t(count) < sizeof chunk)
       return true;
   }
   return false;
 }
-// Small writes: what does not go out at once is a fault of the other side.
-inline bool put(int fd, std::string_view bytes) {
+// Writes a small message. One that does not fit into the socket's buffer counts as a failure of the peer.
+inline bool writeAll(int fd, std::string_view bytes) {
   return send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT) == ssize_t(bytes.size());
 }
-inline void promptly(int fd) {
+inline void disableNagle(int fd) {
   int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
--- a/src/lab/lease_simulation.h
+++ b/src/lab/lease_simulation.h
@@ -1,6 +1,7 @@
-// Many members' loans in virtual time: clocks that differ and run at other speeds, letters that are delayed, lost,
-// copied and overtaken, cuts, processes that stop, die and start anew having forgotten all. After every step the sum of
-// what all may use is compared with the amount. The same seed gives the same run.
+// Discrete-event simulation of many members' leases in virtual time: clocks with offsets and drift, messages
+// that are delayed, lost, duplicated and reordered, cut links, and processes that pause, crash and restart
+// without state. After every step the sum of what all members may use is compared with the quota. The same
+// seed gives the same run.
 #pragma once
 #include <memory>
 #include <string>
@@ -14,48 +15,56 @@
 
 class LeaseSimulation {
  public:
-  LeaseSimulation(shared::LeaseSettings terms, uint64_t seed, double drift = 1e-3);
+  // `drift`: the largest deviation of a clock's rate from 1.
+  LeaseSimulation(shared::LeaseSettings settings, uint64_t seed, double drift = 1e-3);
 
-  double minDelay = 0.001, maxDelay = 0.005, loss = 0, duplication = 0;  // of all letters; seconds, parts
-  double lateShare = 0, lateDelay = 0;                                   // a part of them takes up to so long
+  // Of all messages: delays in seconds, and shares.
+  double minDelay = 0.001;
+  double maxDelay = 0.005;
+  double loss = 0;
+  double duplication = 0;
+  double lateShare = 0;  // of the messages: delayed by up to lateDelay more
+  double lateDelay = 0;
 
-  void setDemand(int member, size_t amount, double units);
+  void setDemand(int member, size_t quota, double units);
   void kill(int member);
-  void start(int member);  // a new life
-  void pause(int member, bool is);
-  void cut(int from, int to, bool is) { cut_[size_t(from)][size_t(to)] = is; }
-  void partition(int from, int to, bool is);  // members from..to-1 from all others, both ways
+  void start(int member);  // as a new instance
+  void pause(int member, bool isPaused);
+  void cut(int from, int to, bool isCut) { isCut_[size_t(from)][size_t(to)] = isCut; }
+  void partition(int from, int to, bool isCut);  // members from..to-1 from all others, both ways
   void run(double until);
   double now() const { return now_; }
   bool isRunning(int member) const { return hosts_[size_t(member)].leases && !hosts_[size_t(member)].paused; }
 
-  double available(int member, size_t amount) const;  // 0: it does not run
-  double available(size_t amount) const;              // of all together, those included that stand still
-  double used(size_t amount) const;                   // of that, what they want
-  const std::string& violation() const { return broken_; }
-  uint64_t messages() const { return letters_; }
+  double available(int member, size_t quota) const;  // 0: not running
+  double available(size_t quota) const;              // to all members, paused ones included
+  double used(size_t quota) const;                   // of that, as far as there is demand
+  const std::string& violation() const { return violation_; }
+  uint64_t messages() const { return messages_; }
 
  private:
   struct Host {
     std::unique_ptr<shared::LeaseManager> leases;
-    double offset = 0, speed = 1;
+    double clockOffset = 0;
+    double clockRate = 1;
     bool paused = false;
-    uint64_t version = 0;
-    std::vector<shared::LeaseMessage> waiting;
-    std::vector<double> wants;
+    uint64_t wakeUpVersion = 0;                // only the wake-up with this version is valid
+    std::vector<shared::LeaseMessage> queued;  // messages that arrived while it was paused
+    std::vector<double> demands;
   };
-  double clock(const Host& host) const { return host.offset + host.speed * now_; }
-  void turn(int member);
-  void check();
+  double clock(const Host& host) const { return host.clockOffset + host.clockRate * now_; }
+  void step(int member);
+  void checkQuotas();
 
   shared::LeaseSettings settings_;
-  Pcg32 chance_;
+  Pcg32 random_;
   EventQueue events_;
   double now_ = 0;
-  uint64_t lives_ = 0, letters_ = 0;
+  uint64_t lastInstance_ = 0;
+  uint64_t messages_ = 0;
   std::vector<Host> hosts_;
-  std::vector<std::vector<bool>> cut_;
-  std::string broken_;
+  std::vector<std::vector<bool>> isCut_;
+  std::string violation_;
 };
 
 }  // namespace elmcleat::lab
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -13,51 +13,55 @@
   file.machine = machineHere(), file.plan = plan.document;
   double load = 0;
   std::ifstream("/proc/loadavg") >> load;
-  file.machine["loadBefore"] = load;  // what else ran beside it
+  file.machine["loadBefore"] = load;  // load of other programs
   ScaleBounds bounds;
-  bounds.endsAt = secondsNow() + plan.mostSeconds, bounds.mostMb = file.machine.value("memoryMb", 0.0) / 2;
+  bounds.deadline = secondsNow() + plan.maxSeconds,
+  bounds.maxMemoryMb = file.machine.value("memoryMb", 0.0) / 2;
   size_t trials = 0;
   for (auto& run : plan.runs)
     trials += run.engines.size() * (run.variants.empty() ? plan.variants.size() : run.variants.size());
-  std::cerr << plan.name << ": " << trials << " trials, " << 3 * plan.real + 3
-            << " processes at once, at most " << plan.mostSeconds << " s and " << int(bounds.mostMb)
+  // Three processes a dispatcher: itself, its clients, and one of engines. Three more: the change log, the
+  // tool and the process that removes the folder.
+  std::cerr << plan.name << ": " << trials << " trials, " << 3 * plan.realDispatchers + 3
+            << " processes at once, at most " << plan.maxSeconds << " s and " << int(bounds.maxMemoryMb)
             << " MB\n";
-  FigureCollector found;
+  FigureCollector collector;
   for (auto& run : plan.runs)
     for (int engines : run.engines)
       for (auto& [variant, gateway] : plan.variants) {
         if (!run.variants.empty() && std::ranges::find(run.variants, variant) == run.variants.end())
           continue;
-        found.variant = variant;
-        double began = secondsNow();
-        auto missing = [&](const std::string& what, const std::exception& fault) {
-          file.missing.push_back({what, variant, fault.what(), double(engines)});
+        collector.variant = variant;
+        double startedAt = secondsNow();
+        auto recordMissing = [&](const std::string& figure, const std::exception& error) {
+          file.missing.push_back({figure, variant, error.what(), double(engines)});
         };
-        std::string doing = "start";
+        std::string action = "start";
         try {
           bounds.check();
           ScaleFolder folder;
-          Trial trial(plan, program, folder, bounds, found, engines, gateway);
-          trial.wait(run.settle);
+          Trial trial(plan, program, folder, bounds, collector, engines, gateway);
+          trial.wait(run.settleSeconds);
           for (auto& step : run.steps) {
-            doing = step.what;
+            action = step.action;
             try {
-              trial.play(step);
-            } catch (const ValidationErrors& fault) {
-              trial.wait(0);  // all still run, and no bound is passed: the other steps are made
-              missing(doing, fault);
+              trial.run(step);
+            } catch (const ValidationErrors& error) {
+              trial.wait(
+                  0);  // throws if a dispatcher has exited or a limit is exceeded; else the next step follows
+              recordMissing(action, error);
             }
           }
-        } catch (const std::exception& fault) {
+        } catch (const std::exception& error) {
           bounds.processes.clear();
-          missing(doing, fault);
+          recordMissing(action, error);
         }
-        std::cerr << "  " << engines << " engines, " << variant << ": " << secondsNow() - began << " s"
+        std::cerr << "  " << engines << " engines, " << variant << ": " << secondsNow() - startedAt << " s"
                   << (file.missing.empty() ? "" : ", " + std::to_string(file.missing.size()) + " not taken")
                   << '\n';
       }
-  file.figures = found.figures(plan);
-  file.missing.insert(file.missing.end(), found.missing.begin(), found.missing.end());
+  file.figures = collector.figures(plan);
+  file.missing.insert(file.missing.end(), collector.missing.begin(), collector.missing.end());
   return file;
 }
 
--- a/src/lab/scale_bounds.cpp
+++ b/src/lab/scale_bounds.cpp
@@ -13,32 +13,34 @@
 
 namespace elmcleat::lab {
 
-double cpuOf(pid_t pid) {
-  double sum = 0, ns = 0;
-  std::error_code gone;
-  for (auto& task : std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/task", gone))
-    if (std::ifstream(task.path() / "schedstat") >> ns)
-      sum += ns / 1e9;
+double cpuSecondsOf(pid_t pid) {
+  double sum = 0;
+  double nanoseconds = 0;
+  std::error_code ignored;
+  for (auto& task : std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/task", ignored))
+    if (std::ifstream(task.path() / "schedstat") >> nanoseconds)
+      sum += nanoseconds / 1e9;
   return sum;
 }
 
-Usage usageOf(pid_t pid) {
-  Usage usage;
-  std::string base = "/proc/" + std::to_string(pid), word;
-  usage.cpu = cpuOf(pid);
+ProcessUsage usageOf(pid_t pid) {
+  ProcessUsage usage;
+  std::string base = "/proc/" + std::to_string(pid);
+  std::string key;
+  usage.cpuSeconds = cpuSecondsOf(pid);
   std::ifstream file(base + "/status");
-  for (double value = 0; file >> word;) {
-    if (word == "VmRSS:" && file >> value)
+  for (double value = 0; file >> key;) {
+    if (key == "VmRSS:" && file >> value)
       usage.rss = value / 1024;
-    if (word == "VmHWM:" && file >> value)
-      usage.peak = value / 1024;
-    if (word == "RssAnon:" && file >> value)
+    if (key == "VmHWM:" && file >> value)
+      usage.peakRss = value / 1024;
+    if (key == "RssAnon:" && file >> value)
       usage.anonymous = value / 1024;
-    if (word == "Threads:" && file >> value)
+    if (key == "Threads:" && file >> value)
       usage.threads = value;
   }
-  std::error_code gone;
-  for (auto at = std::filesystem::directory_iterator(base + "/fd", gone); at != end(at); ++at)
+  std::error_code ignored;
+  for (auto entry = std::filesystem::directory_iterator(base + "/fd", ignored); entry != end(entry); ++entry)
     ++usage.descriptors;
   return usage;
 }
@@ -48,40 +50,44 @@
   if (!mkdtemp(name))
     throw ValidationErrors({std::string(name) + ": can't be made"});
   path = name;
-  sigset_t heeded, old;
-  sigemptyset(&heeded), sigaddset(&heeded, SIGUSR1);
-  sigprocmask(SIG_BLOCK, &heeded, &old);
+  sigset_t removalSignal;
+  sigset_t old;
+  sigemptyset(&removalSignal);
+  sigaddset(&removalSignal, SIGUSR1);
+  sigprocmask(SIG_BLOCK, &removalSignal, &old);
   pid_t parent = getpid();
-  pid_ = fork();
-  if (pid_ == 0) {
-    setpgid(0, 0);  // what interrupts the tool from a terminal is not for this one
+  cleanerPid_ = fork();
+  if (cleanerPid_ == 0) {
+    setpgid(0, 0);  // signals from the terminal, such as Ctrl+C, must not end this process
     prctl(PR_SET_PDEATHSIG, SIGUSR1);
     if (int signal = 0; getppid() == parent)
-      sigwait(&heeded, &signal);
-    usleep(200'000);  // all others end, and write no more
-    std::error_code fault;
-    std::filesystem::remove_all(path, fault);
+      sigwait(&removalSignal, &signal);
+    constexpr useconds_t kExitWaitMicroseconds = 200'000;
+    usleep(kExitWaitMicroseconds);  // until the other processes have exited and write no more files
+    std::error_code ignored;
+    std::filesystem::remove_all(path, ignored);
     _exit(0);
   }
   sigprocmask(SIG_SETMASK, &old, nullptr);
 }
 ScaleFolder::~ScaleFolder() {
-  ::kill(pid_, SIGUSR1);
-  waitpid(pid_, nullptr, 0);
+  ::kill(cleanerPid_, SIGUSR1);
+  waitpid(cleanerPid_, nullptr, 0);
 }
 
 void ScaleBounds::check() const {
-  if (secondsNow() > endsAt)
+  if (secondsNow() > deadline)
     throw ValidationErrors({"mostSeconds: the run has taken longer than it was told to"});
-  if (processes.size() + 2 > kMostProcesses)
+  if (processes.size() + 2 > kMaxProcesses)
     throw ValidationErrors({"more than 200 processes"});
   double sum = 0;
   for (pid_t pid : processes) {
-    double pages = 0, skipped = 0;
+    double pages = 0;
+    double skipped = 0;
     std::ifstream("/proc/" + std::to_string(pid) + "/statm") >> skipped >> pages;
     sum += pages * double(sysconf(_SC_PAGESIZE)) / (1 << 20);
   }
-  if (sum > mostMb)
+  if (sum > maxMemoryMb)
     throw ValidationErrors(
         {"the processes hold " + std::to_string(int(sum)) + " MB, over half of the machine's memory"});
 }
--- a/src/lab/scale_bounds.h
+++ b/src/lab/scale_bounds.h
@@ -1,4 +1,5 @@
-// What a scale run keeps to, and what /proc tells of its processes.
+// Limits that a scale run enforces on itself, its temporary folder, and resource usage of processes from
+// /proc.
 #pragma once
 #include <sys/types.h>
 
@@ -7,13 +8,19 @@
 
 namespace elmcleat::lab {
 
-struct Usage {  // sizes in MB
-  double cpu = 0, rss = 0, peak = 0, anonymous = 0, threads = 0, descriptors = 0;
+struct ProcessUsage {  // memory in MB
+  double cpuSeconds = 0;
+  double rss = 0;
+  double peakRss = 0;
+  double anonymous = 0;
+  double threads = 0;
+  double descriptors = 0;
 };
-double cpuOf(pid_t pid);  // seconds on a core, of all its threads
-Usage usageOf(pid_t pid);
+double cpuSecondsOf(pid_t pid);  // CPU time of all threads
+ProcessUsage usageOf(pid_t pid);
 
-// The folder of a run. A process of its own removes it, also where this one is killed.
+// The temporary folder of a run. A separate process removes it, so that it is removed even if this process is
+// killed.
 class ScaleFolder {
  public:
   ScaleFolder();
@@ -23,14 +30,15 @@
   std::string path;
 
  private:
-  pid_t pid_;
+  pid_t cleanerPid_;
 };
 
-// Of the whole run: its end, its processes and their memory.
+// Limits of the whole run: its deadline, the number of its processes and their memory.
 struct ScaleBounds {
-  static constexpr size_t kMostProcesses = 200;
-  double endsAt = 0, mostMb = 0;
-  std::set<pid_t> processes;  // but for the tool itself and the one that removes the folder
+  static constexpr size_t kMaxProcesses = 200;
+  double deadline = 0;  // as secondsNow()
+  double maxMemoryMb = 0;
+  std::set<pid_t> processes;  // without the tool itself and the process that removes the folder
   void check() const;         // throws ValidationErrors
 };
 
--- a/src/lab/scale_plan.cpp
+++ b/src/lab/scale_plan.cpp
@@ -8,25 +8,28 @@
 
 Step readStep(const Section& row) {
   Step step;
-  step.what = row.required<std::string>("do");
-  step.name = row.get<std::string>("name", step.what == "commands" ? "command" : step.what);
-  step.seconds = row.get("seconds", step.seconds), step.rate = row.get("rate", step.rate);
-  step.work = row.get("work", step.work), step.away = row.get("away", step.away);
-  step.times = row.get("times", step.times);
-  step.speeds = row.get("speeds", step.speeds), step.counts = row.get("counts", step.counts);
+  step.action = row.required<std::string>("do");
+  step.figurePrefix = row.get<std::string>("name", step.action == "commands" ? "command" : step.action);
+  step.seconds = row.get("seconds", step.seconds), step.commandRate = row.get("rate", step.commandRate);
+  step.workSeconds = row.get("work", step.workSeconds),
+  step.zoneAwaySeconds = row.get("away", step.zoneAwaySeconds);
+  step.drainCount = row.get("times", step.drainCount);
+  step.changeSpeeds = row.get("speeds", step.changeSpeeds),
+  step.connectionCounts = row.get("counts", step.connectionCounts);
   return step;
 }
 
 Expectation readExpectation(const Section& row) {
-  Expectation one;
-  one.figure = row.required<std::string>("figure"), one.variant = row.get<std::string>("variant", "");
+  Expectation expectation;
+  expectation.figure = row.required<std::string>("figure"),
+  expectation.variant = row.get<std::string>("variant", "");
   auto bound = [](const Section& from, const char* key) {
     return from.has(key) ? std::optional(from.required<double>(key)) : std::nullopt;
   };
   const Section value = row.subsection("value"), exponent = row.subsection("exponent");
-  one.least = bound(value, "least"), one.most = bound(value, "most");
-  one.leastExponent = bound(exponent, "least"), one.mostExponent = bound(exponent, "most");
-  return one;
+  expectation.minimum = bound(value, "least"), expectation.maximum = bound(value, "most");
+  expectation.minExponent = bound(exponent, "least"), expectation.maxExponent = bound(exponent, "most");
+  return expectation;
 }
 
 }  // namespace
@@ -37,21 +40,24 @@
   if (auto errors = validateSchema(plan.document, kScaleSchema, path); !errors.empty())
     throw ValidationErrors(std::move(errors));
   const Section file(plan.document);
-  plan.name = file.required<std::string>("name"), plan.mostSeconds = file.required<double>("mostSeconds");
-  plan.real = file.get("real", plan.real), plan.enginesEach = file.get("enginesEach", plan.enginesEach);
+  plan.name = file.required<std::string>("name"), plan.maxSeconds = file.required<double>("mostSeconds");
+  plan.realDispatchers = file.get("real", plan.realDispatchers),
+  plan.enginesPerDispatcher = file.get("enginesEach", plan.enginesPerDispatcher);
   if (file.has("dispatchers"))
-    plan.dispatchers = file.required<int>("dispatchers");
+    plan.configuredDispatchers = file.required<int>("dispatchers");
   plan.variants = file.get("variants", std::map<std::string, Json>{{"off", nullptr}});
   plan.targets = file.get("target", plan.targets), plan.limits = file.get("limits", plan.limits);
   for (auto& row : file.items("expect"))
-    plan.expect.push_back(readExpectation(row));
+    plan.expectations.push_back(readExpectation(row));
   for (auto& row : file.items("runs")) {
     ScaleRun& run = plan.runs.emplace_back();
-    run.engines = row.required<std::vector<int>>("engines"), run.settle = row.get("settle", run.settle);
+    run.engines = row.required<std::vector<int>>("engines"),
+    run.settleSeconds = row.get("settle", run.settleSeconds);
     run.variants = row.get("variants", run.variants);
-    for (auto& one : run.variants)
-      if (!plan.variants.contains(one))
-        throw ValidationErrors({path + ": " + row.pathOf("variants") + ": '" + one + "' is no variant here"});
+    for (auto& variant : run.variants)
+      if (!plan.variants.contains(variant))
+        throw ValidationErrors(
+            {path + ": " + row.pathOf("variants") + ": '" + variant + "' is no variant here"});
     for (auto& step : row.items("steps"))
       run.steps.push_back(readStep(step));
   }
@@ -60,29 +66,32 @@
 
 std::vector<std::string> unmet(const ScalePlan& plan, const FiguresFile& file) {
   std::vector<std::string> lines;
-  for (auto& want : plan.expect) {
+  for (auto& expectation : plan.expectations) {
     bool found = false;
-    auto check = [&](const Figure& one, const char* what, double got, std::optional<double> least,
-                     std::optional<double> most) {
-      if ((least && !(got >= *least)) || (most && !(got <= *most)))
-        lines.push_back(one.name + (one.variant.empty() ? "" : ", " + one.variant) + ": " + what + " " +
-                        std::to_string(got) + " is not in " + (least ? std::to_string(*least) : "..") +
-                        " to " + (most ? std::to_string(*most) : ".."));
+    auto check = [&](const Figure& figure, const char* what, double actual, std::optional<double> minimum,
+                     std::optional<double> maximum) {
+      if ((minimum && !(actual >= *minimum)) || (maximum && !(actual <= *maximum)))
+        lines.push_back(figure.name + (figure.variant.empty() ? "" : ", " + figure.variant) + ": " + what +
+                        " " + std::to_string(actual) + " is not in " +
+                        (minimum ? std::to_string(*minimum) : "..") + " to " +
+                        (maximum ? std::to_string(*maximum) : ".."));
     };
-    for (auto& one : file.figures) {
-      if (one.name != want.figure || (!want.variant.empty() && one.variant != want.variant) || one.ys.empty())
+    for (auto& figure : file.figures) {
+      if (figure.name != expectation.figure ||
+          (!expectation.variant.empty() && figure.variant != expectation.variant) || figure.ys.empty())
         continue;
       found = true;
-      for (double y : one.ys)
-        check(one, "value", y, want.least, want.most);
-      if (!want.leastExponent && !want.mostExponent)
+      for (double value : figure.ys)
+        check(figure, "value", value, expectation.minimum, expectation.maximum);
+      if (!expectation.minExponent && !expectation.maxExponent)
         continue;
-      double y = std::max(one.ys.back(), 1e-9) / std::max(one.ys.front(), 1e-9);
-      check(one, "exponent", std::log(y) / std::log(one.xs.back() / one.xs.front()), want.leastExponent,
-            want.mostExponent);
+      double growth = std::max(figure.ys.back(), 1e-9) / std::max(figure.ys.front(), 1e-9);
+      check(figure, "exponent", std::log(growth) / std::log(figure.xs.back() / figure.xs.front()),
+            expectation.minExponent, expectation.maxExponent);
     }
     if (!found)
-      lines.push_back(want.figure + (want.variant.empty() ? "" : ", " + want.variant) + ": was not taken");
+      lines.push_back(expectation.figure + (expectation.variant.empty() ? "" : ", " + expectation.variant) +
+                      ": was not taken");
   }
   return lines;
 }
--- a/src/lab/scale_trial.cpp
+++ b/src/lab/scale_trial.cpp
@@ -18,36 +18,44 @@
 namespace {
 
 constexpr int kZones = 16;
-constexpr double kBusy = 0.9;  // of a core: who does more has no time left, and its work is cut
-constexpr double kUp = 60;     // seconds in which all dispatchers must be ready
+constexpr double kSaturatedCores = 0.9;  // a dispatcher that uses more is limited by its one core
+constexpr double kReadyTimeout = 60;     // seconds in which all dispatchers must be ready
+constexpr double kShortPollInterval = 0.001;
+constexpr double kIdleConnectTimeout = 20;
+constexpr double kEventTimeout = 2;  // until the change log has sent an event
+constexpr double kApplyTimeout = 5;  // until a dispatcher has applied a full list
+constexpr double kCommandWarmUp = 1.5;
+constexpr double kStopLoadDuration = 0.7;
 
-Address ownAddress(uint32_t number, uint16_t port) {  // on loopback: each run has others
+// Loopback addresses that differ between runs, by the process id.
+Address ownAddress(uint32_t number, uint16_t port) {
   return {0x7f800000u | (static_cast<uint32_t>(getpid()) & 0x3fffu) << 6 | number, port};
 }
 
-void sleepFor(double span) { usleep(useconds_t(std::max(span, 0.0) * 1e6)); }
+void sleepFor(double seconds) { usleep(useconds_t(std::max(seconds, 0.0) * 1e6)); }
 
-bool answersCheck(const Address& address) {  // by 200
+// Whether /check is answered with status 200.
+bool answersCheck(const Address& address) {
   sockaddr_in to = toSockaddr(address);
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  timeval limit{5, 0};
-  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
-  const std::string ask = "GET /check HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
+  timeval timeout{5, 0};
+  setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  const std::string request = "GET /check HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
   char head[16] = {};
-  bool well = connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0 &&
-              send(fd, ask.data(), ask.size(), MSG_NOSIGNAL) > 0 && recv(fd, head, 15, 0) >= 12 &&
-              std::string(head).starts_with("HTTP/1.1 200");
+  bool healthy = connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0 &&
+                 send(fd, request.data(), request.size(), MSG_NOSIGNAL) > 0 && recv(fd, head, 15, 0) >= 12 &&
+                 std::string(head).starts_with("HTTP/1.1 200");
   ::close(fd);
-  return well;
+  return healthy;
 }
 
-// As the program's last line on its view has it: "... USED of LISTED in use ...".
-std::optional<double> inView(const std::string& log) {
+// The number of engines in use, from the last log line on the view: "...: USED of LISTED in use, reach ...".
+std::optional<double> enginesInUse(const std::string& log) {
   size_t end = log.rfind(" in use, reach");
   if (end == std::string::npos)
     return std::nullopt;
-  size_t at = log.rfind(": ", end);
-  return std::strtod(log.c_str() + at + 2, nullptr);
+  size_t prefixEnd = log.rfind(": ", end);
+  return std::strtod(log.c_str() + prefixEnd + 2, nullptr);
 }
 
 std::string speedName(double speed) {
@@ -60,73 +68,87 @@
 
 void FigureCollector::add(const std::string& figure, const std::string& unit, const std::string& xName,
                           double x, double y) {
-  auto at = std::ranges::find_if(
-      all_, [&](const Taken& one) { return one.of.name == figure && one.of.variant == variant; });
-  if (at == all_.end()) {
-    Figure of;
-    of.name = figure, of.variant = variant, of.unit = unit, of.xName = xName;
-    at = all_.insert(at, Taken{of, {}});
+  auto found = std::ranges::find_if(series_, [&](const Series& series) {
+    return series.figure.name == figure && series.figure.variant == variant;
+  });
+  if (found == series_.end()) {
+    Figure added;
+    added.name = figure;
+    added.variant = variant;
+    added.unit = unit;
+    added.xName = xName;
+    found = series_.insert(found, Series{added, {}});
   }
-  at->values[x].push_back(y);
+  found->valuesByX[x].push_back(y);
 }
 
 std::vector<Figure> FigureCollector::figures(const ScalePlan& plan) const {
   std::vector<Figure> figures;
-  for (auto& taken : all_) {
-    Figure& one = figures.emplace_back(taken.of);
-    for (auto& [x, repeats] : taken.values)
-      one.take(x, repeats);
-    if (auto at = plan.targets.find(one.xName); at != plan.targets.end())
-      one.target = at->second;
-    if (auto at = plan.limits.find(one.name); at != plan.limits.end())
-      one.limit = at->second;
+  for (auto& series : series_) {
+    Figure& figure = figures.emplace_back(series.figure);
+    for (auto& [x, repeats] : series.valuesByX)
+      figure.addSize(x, repeats);
+    if (auto found = plan.targets.find(figure.xName); found != plan.targets.end())
+      figure.target = found->second;
+    if (auto found = plan.limits.find(figure.name); found != plan.limits.end())
+      figure.limit = found->second;
   }
-  std::ranges::stable_sort(figures, {}, [](const Figure& one) { return std::tie(one.name, one.variant); });
+  std::ranges::stable_sort(figures, {},
+                           [](const Figure& figure) { return std::tie(figure.name, figure.variant); });
   return figures;
 }
 
 Trial::Trial(const ScalePlan& plan, const std::string& program, const ScaleFolder& folder,
-             ScaleBounds& bounds, FigureCollector& found, int engines, const Json& gateway)
-    : plan_(plan), program_(program), folder_(folder), bounds_(bounds), found_(found), engines_(engines) {
-  for (int i = 0; i < plan.real; ++i) {
-    int listener = listenAnywhere();
+             ScaleBounds& bounds, FigureCollector& collector, int engines, const Json& gateway)
+    : plan_(plan),
+      program_(program),
+      folder_(folder),
+      bounds_(bounds),
+      collector_(collector),
+      engines_(engines) {
+  for (int i = 0; i < plan.realDispatchers; ++i) {
+    int listener = listenOnFreePort();
     ports_.push_back(portOf(listener));
-    auto& its = *servers_.emplace_back(std::make_unique<Servers>());
-    its.child = std::make_unique<Child>(
-        [&its, listener](int orders) { serveEngines(listener, orders, *its.counts); });
+    auto& engineProcess = *engineProcesses_.emplace_back(std::make_unique<EngineProcess>());
+    engineProcess.child = std::make_unique<Child>(
+        [&engineProcess, listener](int orders) { serveEngines(listener, orders, *engineProcess.counts); });
     ::close(listener);
-    bounds_.processes.insert(its.child->pid());
+    bounds_.processes.insert(engineProcess.child->pid());
   }
   int listener = listenOn(ownAddress(0, 0));
   Address changeLog = ownAddress(0, portOf(listener));
   changeLog_ = std::make_unique<Child>([this, listener](int orders) {
-    serveChangeLog(listener, orders, {uint32_t(engines_), kZones, 1, ports_}, *log_);
+    serveChangeLog(listener, orders, {uint32_t(engines_), kZones, 1, ports_}, *logCounts_);
   });
   ::close(listener);
   bounds_.processes.insert(changeLog_->pid());
-  for (int i = 0; i < plan.real; ++i) {
-    auto& its = *real_.emplace_back(std::make_unique<Real>());
-    its.at = ownAddress(uint32_t(i) + 1, 4100), its.log = folder_.path + "/" + std::to_string(i) + ".log";
-    its.clients =
-        std::make_unique<Child>([&its](int orders) { serveClients(its.at, orders, "quick", *its.counts); });
-    bounds_.processes.insert(its.clients->pid());
+  for (int i = 0; i < plan.realDispatchers; ++i) {
+    auto& dispatcher = *dispatchers_.emplace_back(std::make_unique<Dispatcher>());
+    dispatcher.address = ownAddress(uint32_t(i) + 1, 4100),
+    dispatcher.logPath = folder_.path + "/" + std::to_string(i) + ".log";
+    dispatcher.clients = std::make_unique<Child>(
+        [&dispatcher](int orders) { serveClients(dispatcher.address, orders, "quick", *dispatcher.counts); });
+    bounds_.processes.insert(dispatcher.clients->pid());
     std::ofstream(folder_.path + "/" + std::to_string(i) + ".json") << configFor(i, changeLog).dump();
   }
-  double began = secondsNow();
-  for (int i = 0; i < plan.real; ++i)
+  double startedAt = secondsNow();
+  for (int i = 0; i < plan.realDispatchers; ++i)
     start(i, gateway);
-  awaitReady(began);
+  awaitReady(startedAt);
 }
 
 Trial::~Trial() {
-  for (auto& one : real_)
-    if (one->pid > 0)
-      ::kill(one->pid, SIGKILL), waitpid(one->pid, nullptr, 0);
+  for (auto& dispatcher : dispatchers_)
+    if (dispatcher->pid > 0) {
+      ::kill(dispatcher->pid, SIGKILL);
+      waitpid(dispatcher->pid, nullptr, 0);
+    }
   bounds_.processes.clear();
 }
 
 Json Trial::configFor(int dispatcher, const Address& changeLog) const {
-  Json hosts = Json::array(), zones = Json::array();
+  Json hosts = Json::array();
+  Json zones = Json::array();
   for (int i = 0; i < kZones; ++i)
     zones.push_back("zone-" + std::to_string(i));
   for (uint32_t i = 0; i < uint32_t(engines_); ++i) {
@@ -140,8 +162,8 @@
                      {"health", "in_service"},
                      {"born_ms", 0}});
   }
-  int dispatchers =
-      plan_.dispatchers.value_or(std::max(plan_.real, int(std::lround(engines_ / plan_.enginesEach))));
+  int dispatchers = plan_.configuredDispatchers.value_or(
+      std::max(plan_.realDispatchers, int(std::lround(engines_ / plan_.enginesPerDispatcher))));
   Json settings{{"balancers", dispatchers},
                 {"ordinal", dispatcher},
                 {"localities", zones},
@@ -174,7 +196,7 @@
     settings.merge_patch(plan_.document["settings"]);
   return {
       {"name", "scale" + std::to_string(dispatcher)},
-      {"listen", formatAddress(real_[size_t(dispatcher)]->at)},
+      {"listen", formatAddress(dispatchers_[size_t(dispatcher)]->address)},
       {"seed", "8c1f30d27a5be964"},
       {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 20000}}},
       {"changelog", formatAddress(changeLog)},
@@ -186,47 +208,49 @@
   std::string base = folder_.path + "/" + std::to_string(dispatcher);
   if (!gateway.is_null())
     std::ofstream(base + ".gateway.json") << gateway.dump();
-  Real& its = *real_[size_t(dispatcher)];
+  Dispatcher& started = *dispatchers_[size_t(dispatcher)];
   pid_t parent = getpid();
-  its.pid = fork();
-  if (its.pid < 0)
+  started.pid = fork();
+  if (started.pid < 0)
     throw ValidationErrors({"no process for a dispatcher"});
-  if (its.pid == 0) {
+  if (started.pid == 0) {
     endWith(parent, 0);
-    int log = open(its.log.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
-    dup2(log, 2), dup2(log, 1);
+    int log = open(started.logPath.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
+    dup2(log, 2);
+    dup2(log, 1);
     setenv("PROXY_CONFIG", (base + ".json").c_str(), 1);
     for (const char* name : {"PROXY_LISTEN", "PROXY_NAME", "ELMCLEAT_LOG"})
       unsetenv(name);
-    std::string own = base + ".gateway.json";
+    std::string gatewayFile = base + ".gateway.json";
     if (gateway.is_null())
       execl(program_.c_str(), program_.c_str(), nullptr);
     else
-      execl(program_.c_str(), program_.c_str(), "--gateway", own.c_str(), nullptr);
+      execl(program_.c_str(), program_.c_str(), "--gateway", gatewayFile.c_str(), nullptr);
     _exit(99);
   }
-  bounds_.processes.insert(its.pid);
+  bounds_.processes.insert(started.pid);
 }
 
-void Trial::awaitReady(double began) {
-  std::vector<bool> ready(real_.size());
+void Trial::awaitReady(double startedAt) {
+  std::vector<bool> ready(dispatchers_.size());
   while (std::ranges::find(ready, false) != ready.end()) {
-    for (size_t i = 0; i < real_.size(); ++i)
-      if (!ready[i] && answersCheck(real_[i]->at))
-        ready[i] = true, add("ready", "s", secondsNow() - began);
+    for (size_t i = 0; i < dispatchers_.size(); ++i)
+      if (!ready[i] && answersCheck(dispatchers_[i]->address)) {
+        ready[i] = true, add("ready", "s", secondsNow() - startedAt);
+      }
     wait(0.002);
-    if (secondsNow() > began + kUp)
-      throw ValidationErrors({"not ready after " + std::to_string(int(kUp)) + " s"});
+    if (secondsNow() > startedAt + kReadyTimeout)
+      throw ValidationErrors({"not ready after " + std::to_string(int(kReadyTimeout)) + " s"});
   }
 }
 
 void Trial::wait(double seconds) {
   for (double end = secondsNow() + seconds;;) {
     bounds_.check();
-    for (auto& one : real_)
-      if (int status = 0; waitpid(one->pid, &status, WNOHANG) == one->pid) {
-        one->pid = 0;
-        std::string log = logOf(*one);
+    for (auto& dispatcher : dispatchers_)
+      if (int status = 0; waitpid(dispatcher->pid, &status, WNOHANG) == dispatcher->pid) {
+        dispatcher->pid = 0;
+        std::string log = logOf(*dispatcher);
         throw ValidationErrors({"a dispatcher ended, status " + std::to_string(status) + ": " +
                                 log.substr(log.size() - std::min<size_t>(log.size(), 300))});
       }
@@ -237,118 +261,127 @@
   }
 }
 
-std::string Trial::logOf(const Real& real) const {
+std::string Trial::logOf(const Dispatcher& dispatcher) const {
   std::stringstream text;
-  text << std::ifstream(real.log).rdbuf();
+  text << std::ifstream(dispatcher.logPath).rdbuf();
   return text.str();
 }
 
-void Trial::play(const Step& step) {
-  if (step.what == "quiet" || step.what == "changes")
-    quiet(step, step.what == "changes");
-  else if (step.what == "connections")
-    connections(step);
-  else if (step.what == "commands")
-    commands(step);
-  else if (step.what == "drain")
-    drain(step);
-  else if (step.what == "zone")
-    zone(step);
+void Trial::run(const Step& step) {
+  if (step.action == "quiet" || step.action == "changes")
+    runQuiet(step, step.action == "changes");
+  else if (step.action == "connections")
+    runConnections(step);
+  else if (step.action == "commands")
+    runCommands(step);
+  else if (step.action == "drain")
+    runDrain(step);
+  else if (step.action == "zone")
+    runZone(step);
   else
-    silent(step);
+    runSilent(step);
 }
 
-// --- what is read
-std::vector<double> Trial::cpu(double seconds) {
+// --- Measurements and orders
+std::vector<double> Trial::cpuShares(double seconds) {
   std::vector<double> used;
-  double began = secondsNow();
-  for (auto& one : real_)
-    used.push_back(-cpuOf(one->pid));
+  double startedAt = secondsNow();
+  for (auto& dispatcher : dispatchers_)
+    used.push_back(-cpuSecondsOf(dispatcher->pid));
   wait(seconds);
-  double span = secondsNow() - began;
+  double elapsed = secondsNow() - startedAt;
   for (size_t i = 0; i < used.size(); ++i)
-    used[i] = (used[i] + cpuOf(real_[i]->pid)) / span;
+    used[i] = (used[i] + cpuSecondsOf(dispatchers_[i]->pid)) / elapsed;
   return used;
 }
-std::vector<double> Trial::worst(double seconds) {
-  std::vector<double> most(real_.size());
+std::vector<double> Trial::worstCpuShares(double seconds) {
+  std::vector<double> worst(dispatchers_.size());
   double end = secondsNow() + seconds - 0.5;
   do {
-    auto second = cpu(1);
-    for (size_t i = 0; i < most.size(); ++i)
-      most[i] = std::max(most[i], second[i]);
+    auto second = cpuShares(1);
+    for (size_t i = 0; i < worst.size(); ++i)
+      worst[i] = std::max(worst[i], second[i]);
   } while (secondsNow() < end);
-  return most;
+  return worst;
 }
 double Trial::sum(std::atomic<uint64_t> ClientCounts::*count) const {
-  double all = 0;
-  for (auto& one : real_)
-    all += double(((*one->counts).*count).load());
-  return all;
+  double total = 0;
+  for (auto& dispatcher : dispatchers_)
+    total += double(((*dispatcher->counts).*count).load());
+  return total;
 }
-double Trial::faulty() const {
+double Trial::faultyCommands() const {
   return sum(&ClientCounts::lost) + sum(&ClientCounts::wrong) + sum(&ClientCounts::failed);
 }
 double Trial::openToEngines() const {
-  double all = 0;
-  for (auto& one : servers_)
-    all += double(one->counts->open.load());
-  return all / double(real_.size());
+  double open = 0;
+  for (auto& engineProcess : engineProcesses_)
+    open += double(engineProcess->counts->open.load());
+  return open / double(dispatchers_.size());
 }
-uint32_t Trial::busiest() {  // from now on, for a while
-  auto sends = [&](uint32_t i) -> uint32_t { return servers_[i % servers_.size()]->counts->sends[i]; };
-  std::vector<uint32_t> had;
+// Measures for 0.3 s.
+uint32_t Trial::busiestEngine() {
+  auto sends = [&](uint32_t i) -> uint32_t {
+    return engineProcesses_[i % engineProcesses_.size()]->counts->sends[i];
+  };
+  std::vector<uint32_t> sendsBefore;
   for (uint32_t i = 0; i < uint32_t(engines_); ++i)
-    had.push_back(sends(i));
+    sendsBefore.push_back(sends(i));
   wait(0.3);
   uint32_t best = 0;
   for (uint32_t i = 0; i < uint32_t(engines_); ++i)
-    if (sends(i) - had[i] > sends(best) - had[best])
+    if (sends(i) - sendsBefore[i] > sends(best) - sendsBefore[best])
       best = i;
   return best;
 }
-void Trial::tellEngines(const std::string& order) const {
-  for (auto& one : servers_)
-    one->child->tell(order);
+void Trial::orderEngines(const std::string& order) const {
+  for (auto& engineProcess : engineProcesses_)
+    engineProcess->child->order(order);
 }
-void Trial::load(const Step& step, int tables) {
-  tellEngines("work " + std::to_string(step.work));
-  for (auto& one : real_)
-    one->clients->tell("rate " + std::to_string(step.rate) + " " + std::to_string(tables));
+void Trial::startLoad(const Step& step, int tables) {
+  orderEngines("work " + std::to_string(step.workSeconds));
+  for (auto& dispatcher : dispatchers_)
+    dispatcher->clients->order("rate " + std::to_string(step.commandRate) + " " + std::to_string(tables));
 }
-void Trial::over() {
-  for (auto& one : real_)
-    one->clients->tell("rate 0 1");
-  wait(0.7);
+void Trial::stopLoad() {
+  for (auto& dispatcher : dispatchers_)
+    dispatcher->clients->order("rate 0 1");
+  wait(kStopLoadDuration);
 }
 
-// --- steps
-void Trial::quiet(const Step& step, bool byChanges) {
-  for (double speed : step.speeds) {
-    changeLog_->tell("speed " + std::to_string(speed));
+// --- Steps
+// The cost of following the change log at several rates of changes, without commands.
+void Trial::runQuiet(const Step& step, bool byChanges) {
+  for (double speed : step.changeSpeeds) {
+    changeLog_->order("speed " + std::to_string(speed));
     wait(0.5);
     if (speed == 0 && !byChanges)
-      for (auto& one : real_) {
-        Usage usage = usageOf(one->pid);
-        add("memory.engines", "MB", usage.anonymous), add("memory.engines.peak", "MB", usage.peak);
+      for (auto& dispatcher : dispatchers_) {
+        ProcessUsage usage = usageOf(dispatcher->pid);
+        add("memory.engines", "MB", usage.anonymous), add("memory.engines.peak", "MB", usage.peakRss);
         add("count.descriptors", "open", usage.descriptors), add("count.threads", "threads", usage.threads);
-        if (auto used = inView(logOf(*one)))
+        if (auto used = enginesInUse(logOf(*dispatcher)))
           add("count.view", "engines in view", *used);
       }
-    double in = double(log_->bytesOut), out = double(log_->bytesIn), events = double(log_->events);
+    double in = double(logCounts_->bytesOut);
+    double out = double(logCounts_->bytesIn);
+    double events = double(logCounts_->events);
     std::vector<double> lines;
-    auto linesOf = [&](const Real& one) { return double(std::ranges::count(logOf(one), '\n')); };
-    for (auto& one : real_)
-      lines.push_back(-linesOf(*one));
-    double began = secondsNow();
-    auto used = cpu(step.seconds);
-    double span = (secondsNow() - began) * double(real_.size());
-    in = (double(log_->bytesOut) - in) / span, out = (double(log_->bytesIn) - out) / span;
-    events = double(log_->events) - events;
+    auto linesOf = [&](const Dispatcher& dispatcher) {
+      return double(std::ranges::count(logOf(dispatcher), '\n'));
+    };
+    for (auto& dispatcher : dispatchers_)
+      lines.push_back(-linesOf(*dispatcher));
+    double startedAt = secondsNow();
+    auto used = cpuShares(step.seconds);
+    double dispatcherSeconds = (secondsNow() - startedAt) * double(dispatchers_.size());
+    in = (double(logCounts_->bytesOut) - in) / dispatcherSeconds;
+    out = (double(logCounts_->bytesIn) - out) / dispatcherSeconds;
+    events = double(logCounts_->events) - events;
     if (byChanges) {
-      for (double one : used)
-        found_.add("control.changes.cores", "cores", "changes", speed, one);
-      found_.add("control.changes.in", "B/s", "changes", speed, in);
+      for (double cores : used)
+        collector_.add("control.changes.cores", "cores", "changes", speed, cores);
+      collector_.add("control.changes.in", "B/s", "changes", speed, in);
       continue;
     }
     std::string base = "control." + speedName(speed);
@@ -356,169 +389,185 @@
     add(base + ".in", "B/s", in), add(base + ".out", "B/s", out);
     if (events < 1)
       continue;
-    for (size_t i = 0; i < real_.size(); ++i)
+    for (size_t i = 0; i < dispatchers_.size(); ++i)
       add("count." + speedName(speed) + ".lines", "log lines an event",
-          (lines[i] + linesOf(*real_[i])) / events);
+          (lines[i] + linesOf(*dispatchers_[i])) / events);
   }
-  changeLog_->tell("speed 0");
+  changeLog_->order("speed 0");
 }
 
-void Trial::connections(const Step& step) {
-  for (int count : step.counts) {
-    double checks = sum(&ClientCounts::checks), broken = sum(&ClientCounts::broken);
-    double all = double(count) * double(real_.size()), more = all - sum(&ClientCounts::idle);
-    for (auto& one : real_)
-      one->clients->tell("idle " + std::to_string(count));
-    for (double end = secondsNow() + 20;; wait(0.1)) {
-      if (sum(&ClientCounts::idle) >= all && sum(&ClientCounts::checks) >= checks + more)
+// The cost of idle client connections, at several numbers of them.
+void Trial::runConnections(const Step& step) {
+  for (int count : step.connectionCounts) {
+    double checksBefore = sum(&ClientCounts::checks);
+    double brokenBefore = sum(&ClientCounts::broken);
+    double wanted = double(count) * double(dispatchers_.size());
+    double added = wanted - sum(&ClientCounts::idle);
+    for (auto& dispatcher : dispatchers_)
+      dispatcher->clients->order("idle " + std::to_string(count));
+    for (double end = secondsNow() + kIdleConnectTimeout;; wait(0.1)) {
+      if (sum(&ClientCounts::idle) >= wanted && sum(&ClientCounts::checks) >= checksBefore + added)
         break;
       if (secondsNow() > end)
         throw ValidationErrors({"connections: " + std::to_string(count) + " did not come up in 20 s"});
     }
     wait(1);
-    auto used = cpu(step.seconds);
-    for (auto& one : real_) {
-      Usage usage = usageOf(one->pid);
-      found_.add("memory.connections", "MB", "connections", count, usage.anonymous);
-      found_.add("count.connections.descriptors", "open", "connections", count, usage.descriptors);
+    auto used = cpuShares(step.seconds);
+    for (auto& dispatcher : dispatchers_) {
+      ProcessUsage usage = usageOf(dispatcher->pid);
+      collector_.add("memory.connections", "MB", "connections", count, usage.anonymous);
+      collector_.add("count.connections.descriptors", "open", "connections", count, usage.descriptors);
     }
-    for (double one : used)
-      found_.add("connections.cores", "cores", "connections", count, one);
-    found_.add("connections.broken", "connections", "connections", count,
-               sum(&ClientCounts::broken) - broken);
+    for (double cores : used)
+      collector_.add("connections.cores", "cores", "connections", count, cores);
+    collector_.add("connections.broken", "connections", "connections", count,
+                   sum(&ClientCounts::broken) - brokenBefore);
   }
-  for (auto& one : real_)
-    one->clients->tell("idle 0");
+  for (auto& dispatcher : dispatchers_)
+    dispatcher->clients->order("idle 0");
   wait(1);
 }
 
-void Trial::commands(const Step& step) {
-  auto idle = cpu(std::min(step.seconds, 3.0));
-  load(step);
+// Cost, latency and results of commands in an open loop.
+void Trial::runCommands(const Step& step) {
+  auto idle = cpuShares(std::min(step.seconds, 3.0));
+  startLoad(step);
   wait(std::min(step.seconds, 2.0));
-  for (auto& one : real_)
-    for (auto& count : one->counts->latency)
+  for (auto& dispatcher : dispatchers_)
+    for (auto& count : dispatcher->counts->latency)
       count = 0;
-  double bad = faulty(), shed = sum(&ClientCounts::shed), asked = sum(&ClientCounts::asked);
+  double faultyBefore = faultyCommands();
+  double shedBefore = sum(&ClientCounts::shed);
+  double sent = sum(&ClientCounts::sent);
   std::vector<double> answered;
-  for (auto& one : real_)
-    answered.push_back(-double(one->counts->answered));
-  double began = secondsNow();
-  auto used = cpu(step.seconds);
-  double span = secondsNow() - began;
-  for (size_t i = 0; i < real_.size(); ++i) {
-    answered[i] += double(real_[i]->counts->answered);
-    if (used[i] > kBusy)
-      found_.missing.push_back({step.name + ".cpu", found_.variant,
-                                "a dispatcher had no time left: its cost is not told", double(engines_)});
+  for (auto& dispatcher : dispatchers_)
+    answered.push_back(-double(dispatcher->counts->answered));
+  double startedAt = secondsNow();
+  auto used = cpuShares(step.seconds);
+  double elapsed = secondsNow() - startedAt;
+  for (size_t i = 0; i < dispatchers_.size(); ++i) {
+    answered[i] += double(dispatchers_[i]->counts->answered);
+    if (used[i] > kSaturatedCores)
+      collector_.missing.push_back({step.figurePrefix + ".cpu", collector_.variant,
+                                    "a dispatcher had no time left: its cost is not told", double(engines_)});
     else if (answered[i] > 0)
-      add(step.name + ".cpu", "us", (used[i] - idle[i]) * span / answered[i] * 1e6);
-    add(step.name + ".cores", "cores", used[i]);
-    add(step.name + ".half", "ms", latencyAt(*real_[i]->counts, 0.5) * 1e3);
-    add(step.name + ".p99", "ms", latencyAt(*real_[i]->counts, 0.99) * 1e3);
+      add(step.figurePrefix + ".cpu", "us", (used[i] - idle[i]) * elapsed / answered[i] * 1e6);
+    add(step.figurePrefix + ".cores", "cores", used[i]);
+    add(step.figurePrefix + ".half", "ms", latencyQuantile(*dispatchers_[i]->counts, 0.5) * 1e3);
+    add(step.figurePrefix + ".p99", "ms", latencyQuantile(*dispatchers_[i]->counts, 0.99) * 1e3);
   }
-  asked = sum(&ClientCounts::asked) - asked;
-  add(step.name + ".shed", "of all", asked > 0 ? (sum(&ClientCounts::shed) - shed) / asked : 0);
-  add("count." + step.name + ".connected", "connections", openToEngines());
-  uint32_t most = 0, reached = 0;
-  for (auto& one : servers_)
-    for (auto& count : one->counts->connections)
-      most = std::max<uint32_t>(most, count);
-  for (auto& one : servers_)
-    for (auto& count : one->counts->sends)
-      reached += count > 0;
-  add("count." + step.name + ".engines", "engines", reached),
-      add("count." + step.name + ".callers", "connections at one", most);
-  over();
-  add(step.name + ".lost", "commands", faulty() - bad);
+  sent = sum(&ClientCounts::sent) - sent;
+  add(step.figurePrefix + ".shed", "of all", sent > 0 ? (sum(&ClientCounts::shed) - shedBefore) / sent : 0);
+  add("count." + step.figurePrefix + ".connected", "connections", openToEngines());
+  uint32_t mostConnections = 0;
+  uint32_t reachedEngines = 0;
+  for (auto& engineProcess : engineProcesses_)
+    for (auto& count : engineProcess->counts->connections)
+      mostConnections = std::max<uint32_t>(mostConnections, count);
+  for (auto& engineProcess : engineProcesses_)
+    for (auto& count : engineProcess->counts->sends)
+      reachedEngines += count > 0;
+  add("count." + step.figurePrefix + ".engines", "engines", reachedEngines),
+      add("count." + step.figurePrefix + ".callers", "connections at one", mostConnections);
+  stopLoad();
+  add(step.figurePrefix + ".lost", "commands", faultyCommands() - faultyBefore);
 }
 
-// All commands are for one table, and so for one engine as long as it is warm: many tell well when the last
-// was sent.
-void Trial::drain(const Step& step) {
-  load(step, 1);
-  wait(1.5);
+// How long an engine still receives commands after the change log has announced that it drains. All commands
+// are for one table, and so for one engine as long as it is warm: with many commands the time of the last is
+// precise.
+void Trial::runDrain(const Step& step) {
+  startLoad(step, 1);
+  wait(kCommandWarmUp);
   double worst = -1;
-  for (int i = 0; i < step.times; ++i) {
-    uint32_t engine = busiest();
-    auto& lastSend = servers_[engine % servers_.size()]->counts->lastSend[engine];
-    double before = log_->toldAt, each = 1 / step.rate;
-    changeLog_->tell("row " + std::to_string(engine) + " 1");
-    for (double end = secondsNow() + 2; log_->toldAt == before && secondsNow() < end;)
-      sleepFor(0.001);
-    double told = log_->toldAt, gap = told - lastSend;
+  for (int i = 0; i < step.drainCount; ++i) {
+    uint32_t engine = busiestEngine();
+    auto& lastSend = engineProcesses_[engine % engineProcesses_.size()]->counts->lastSend[engine];
+    double eventBefore = logCounts_->lastEventAt;
+    double commandInterval = 1 / step.commandRate;
+    changeLog_->order("row " + std::to_string(engine) + " 1");
+    for (double end = secondsNow() + kEventTimeout;
+         logCounts_->lastEventAt == eventBefore && secondsNow() < end;)
+      sleepFor(kShortPollInterval);
+    double announcedAt = logCounts_->lastEventAt;
+    double gap = announcedAt - lastSend;
     wait(std::min(step.seconds, 1.0));
-    if (gap < 5 * each)
-      worst = std::max({worst, lastSend - told, 0.0});  // it had commands until then
-    changeLog_->tell("row " + std::to_string(engine) + " 0");
+    if (gap < 5 * commandInterval)  // it received commands until the announcement
+      worst = std::max({worst, lastSend - announcedAt, 0.0});
+    changeLog_->order("row " + std::to_string(engine) + " 0");
     wait(0.2);
   }
-  over();
+  stopLoad();
   if (worst < 0)
     throw ValidationErrors({"drain: no engine that had commands until it was told"});
-  add(step.name + ".last", "s", worst);
+  add(step.figurePrefix + ".last", "s", worst);
 }
 
-void Trial::zone(const Step& step) {
-  load(step);
-  wait(1.5);
-  auto base = cpu(std::min(step.seconds, 3.0));
-  const std::string one = std::to_string(busiest() % kZones) + " " + std::to_string(kZones);
-  addEach(step.name + ".before.cores", "cores", base);  // with the commands, as those that follow
-  double bad = faulty(), shed = sum(&ClientCounts::shed), asked = sum(&ClientCounts::asked);
-  tellEngines("gone " + one + " 1");
-  changeLog_->tell("zone " + one + " 2 1");
-  addEach(step.name + ".gone.cores", "cores", cpu(1));
-  addEach(step.name + ".away.cores", "cores", worst(step.away));
-  tellEngines("gone " + one + " 0");
-  changeLog_->tell("zone " + one + " 0 1");
-  addEach(step.name + ".back.cores", "cores", worst(step.seconds));
-  asked = sum(&ClientCounts::asked) - asked;
-  over();
-  add(step.name + ".lost", "commands", faulty() - bad);
-  add(step.name + ".shed", "of all", asked > 0 ? (sum(&ClientCounts::shed) - shed) / asked : 0);
+// The loss of a whole zone and its return, under load.
+void Trial::runZone(const Step& step) {
+  startLoad(step);
+  wait(kCommandWarmUp);
+  auto base = cpuShares(std::min(step.seconds, 3.0));
+  const std::string zone = std::to_string(busiestEngine() % kZones) + " " + std::to_string(kZones);
+  addEach(step.figurePrefix + ".before.cores", "cores", base);  // under load, as the following ones
+  double faultyBefore = faultyCommands();
+  double shedBefore = sum(&ClientCounts::shed);
+  double sent = sum(&ClientCounts::sent);
+  orderEngines("gone " + zone + " 1");
+  changeLog_->order("zone " + zone + " 2 1");
+  addEach(step.figurePrefix + ".gone.cores", "cores", cpuShares(1));
+  addEach(step.figurePrefix + ".away.cores", "cores", worstCpuShares(step.zoneAwaySeconds));
+  orderEngines("gone " + zone + " 0");
+  changeLog_->order("zone " + zone + " 0 1");
+  addEach(step.figurePrefix + ".back.cores", "cores", worstCpuShares(step.seconds));
+  sent = sum(&ClientCounts::sent) - sent;
+  stopLoad();
+  add(step.figurePrefix + ".lost", "commands", faultyCommands() - faultyBefore);
+  add(step.figurePrefix + ".shed", "of all", sent > 0 ? (sum(&ClientCounts::shed) - shedBefore) / sent : 0);
 }
 
-// While it is silent some engines begin to drain, a 64th of all: the whole list that follows is one that
-// changes something for each dispatcher.
-void Trial::silent(const Step& step) {
-  changeLog_->tell("speed 1");
-  changeLog_->tell("silent 1");
-  changeLog_->tell("zone 3 64 1 0");
-  addEach("silent.cores", "cores", cpu(step.seconds));
-  changeLog_->tell("speed 0");
+// Silence of the change log, and its end. During the silence a 64th of all engines begins to drain, so that
+// the full list that follows changes something for each dispatcher.
+void Trial::runSilent(const Step& step) {
+  changeLog_->order("speed 1");
+  changeLog_->order("silent 1");
+  changeLog_->order("zone 3 64 1 0");
+  addEach("silent.cores", "cores", cpuShares(step.seconds));
+  changeLog_->order("speed 0");
   wait(0.1);
-  double before = log_->toldAt;
-  changeLog_->tell("silent 0");
+  double eventBefore = logCounts_->lastEventAt;
+  changeLog_->order("silent 0");
   std::vector<double> used;
-  for (auto& one : real_)
-    used.push_back(-cpuOf(one->pid));
-  double began = secondsNow();
-  for (double end = began + 2; log_->toldAt == before && secondsNow() < end;)
-    sleepFor(0.001);
-  double told = log_->toldAt;
-  const std::string line = "event " + std::to_string(log_->number);
-  auto applied = [&](const std::string& log) {
-    for (size_t at = 0; (at = log.find(line, at)) != std::string::npos; at += line.size())
-      if (at + line.size() < log.size() && !std::isdigit(static_cast<unsigned char>(log[at + line.size()])))
+  for (auto& dispatcher : dispatchers_)
+    used.push_back(-cpuSecondsOf(dispatcher->pid));
+  double startedAt = secondsNow();
+  for (double end = startedAt + kEventTimeout; logCounts_->lastEventAt == eventBefore && secondsNow() < end;)
+    sleepFor(kShortPollInterval);
+  double announcedAt = logCounts_->lastEventAt;
+  const std::string line = "event " + std::to_string(logCounts_->sequence);
+  // Whether the log has the line's text with no further digit after it.
+  auto isApplied = [&](const std::string& log) {
+    for (size_t found = 0; (found = log.find(line, found)) != std::string::npos; found += line.size())
+      if (found + line.size() < log.size() &&
+          !std::isdigit(static_cast<unsigned char>(log[found + line.size()])))
         return true;
     return false;
   };
-  for (auto& one : real_) {
-    while (!applied(logOf(*one))) {
-      if (secondsNow() > told + 5)
+  for (auto& dispatcher : dispatchers_) {
+    while (!isApplied(logOf(*dispatcher))) {
+      if (secondsNow() > announcedAt + kApplyTimeout)
         throw ValidationErrors({"silent: no whole list was applied in 5 s"});
       wait(0.002);
     }
-    add("silent.applied", "s", secondsNow() - told);
+    add("silent.applied", "s", secondsNow() - announcedAt);
   }
-  wait(std::max(0.0, began + 1 - secondsNow()));
-  double span = secondsNow() - began;
+  wait(std::max(0.0, startedAt + 1 - secondsNow()));
+  double elapsed = secondsNow() - startedAt;
   for (size_t i = 0; i < used.size(); ++i)
-    used[i] = (used[i] + cpuOf(real_[i]->pid)) / span;
+    used[i] = (used[i] + cpuSecondsOf(dispatchers_[i]->pid)) / elapsed;
   addEach("silent.back.cores", "cores", used);
-  addEach("silent.after.cores", "cores", worst(std::min(step.seconds, 3.0)));
-  changeLog_->tell("zone 3 64 0 0");
+  addEach("silent.after.cores", "cores", worstCpuShares(std::min(step.seconds, 3.0)));
+  changeLog_->order("zone 3 64 0 0");
 }
 
 }  // namespace elmcleat::lab
--- a/src/lab/scale_trial.h
+++ b/src/lab/scale_trial.h
@@ -1,5 +1,5 @@
-// One variant at one size: real dispatchers, and what is hollow round them; the steps that are measured
-// there.
+// One variant at one number of engines: starts the real dispatchers and the simulated processes around them,
+// and runs the steps that measure them.
 #pragma once
 #include <memory>
 
@@ -9,67 +9,67 @@
 
 namespace elmcleat::lab {
 
-// By figure, variant and size: a value from each dispatcher, or each try.
+// Collects values by figure, variant and size: one from each dispatcher, or from each repetition.
 class FigureCollector {
  public:
   void add(const std::string& figure, const std::string& unit, const std::string& xName, double x, double y);
   std::vector<Figure> figures(const ScalePlan& plan) const;  // medians
-  std::string variant;                                       // of what is added
+  std::string variant;                                       // of the values that are added
   std::vector<Missing> missing;
 
  private:
-  struct Taken {
-    Figure of;
-    std::map<double, std::vector<double>> values;
+  struct Series {
+    Figure figure;
+    std::map<double, std::vector<double>> valuesByX;
   };
-  std::vector<Taken> all_;
+  std::vector<Series> series_;
 };
 
 class Trial {
  public:
   Trial(const ScalePlan& plan, const std::string& program, const ScaleFolder& folder, ScaleBounds& bounds,
-        FigureCollector& found, int engines, const Json& gateway);
+        FigureCollector& collector, int engines, const Json& gateway);
   Trial(const Trial&) = delete;
   Trial& operator=(const Trial&) = delete;
   ~Trial();
-  void wait(double seconds);  // while the bounds are kept, and all dispatchers live
-  void play(const Step& step);
+  void wait(double seconds);  // throws ValidationErrors if a limit is exceeded or a dispatcher exits
+  void run(const Step& step);
 
  private:
-  struct Real {
+  struct Dispatcher {
     pid_t pid = 0;
-    Address at;
-    std::string log;
+    Address address;
+    std::string logPath;
     SharedMemory<ClientCounts> counts;
     std::unique_ptr<Child> clients;
   };
-  struct Servers {  // of engines whose id, modulo how many there are, is theirs
+  struct EngineProcess {  // serves the engines whose id modulo the number of these processes is its index
     SharedMemory<EngineCounts> counts;
     std::unique_ptr<Child> child;
   };
   Json configFor(int dispatcher, const Address& changeLog) const;
   void start(int dispatcher, const Json& gateway);
-  void awaitReady(double began);
-  std::string logOf(const Real& real) const;
+  void awaitReady(double startedAt);
+  std::string logOf(const Dispatcher& dispatcher) const;
 
-  void quiet(const Step& step, bool byChanges);
-  void connections(const Step& step);
-  void commands(const Step& step);
-  void drain(const Step& step);
-  void zone(const Step& step);
-  void silent(const Step& step);
+  void runQuiet(const Step& step, bool byChanges);
+  void runConnections(const Step& step);
+  void runCommands(const Step& step);
+  void runDrain(const Step& step);
+  void runZone(const Step& step);
+  void runSilent(const Step& step);
 
-  void load(const Step& step, int tables = 512);  // commands come, until over()
-  void over();
-  void tellEngines(const std::string& order) const;
-  std::vector<double> cpu(double seconds);    // of each dispatcher, over so long from now: parts of a core
-  std::vector<double> worst(double seconds);  // the same, of the worst whole second
+  void startLoad(const Step& step, int tables = 512);  // clients send commands until stopLoad()
+  void stopLoad();
+  void orderEngines(const std::string& order) const;
+  std::vector<double> cpuShares(double seconds);  // cores used by each dispatcher during the next `seconds`
+  std::vector<double> worstCpuShares(double seconds);  // the same for the worst whole second of each
   double sum(std::atomic<uint64_t> ClientCounts::*count) const;
-  double faulty() const;  // commands lost, wrong or failed
-  double openToEngines() const;
-  uint32_t busiest();  // the engine that gets the most commands
+  double faultyCommands() const;  // commands lost, answered wrongly or failed
+  double openToEngines() const;   // connections to engines, mean of the dispatchers
+  uint32_t busiestEngine();       // the engine that receives the most commands
   void add(const std::string& figure, const std::string& unit, double y) {
-    found_.add(figure, unit, "engines", engines_, y);
+    collector_.add(figure, unit, "engines", engines_, y);
   }
   void addEach(const std::string& figure, const std::string& unit, const std::vector<double>& ys) {
     for (double y : ys)
@@ -80,13 +80,13 @@
   const std::string& program_;
   const ScaleFolder& folder_;
   ScaleBounds& bounds_;
-  FigureCollector& found_;
+  FigureCollector& collector_;
   int engines_;
   std::vector<uint16_t> ports_;
-  std::vector<std::unique_ptr<Servers>> servers_;
-  SharedMemory<LogCounts> log_;
+  std::vector<std::unique_ptr<EngineProcess>> engineProcesses_;
+  SharedMemory<LogCounts> logCounts_;
   std::unique_ptr<Child> changeLog_;
-  std::vector<std::unique_ptr<Real>> real_;
+  std::vector<std::unique_ptr<Dispatcher>> dispatchers_;
 };
 
 }  // namespace elmcleat::lab
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// The scale run's parts without its processes: fits, files, plans, the page, bounds. The run itself: test
-// `scale`.
+// Parts of the scale run without its processes: fits, files, plans, the capacity page and the limits. The
+// CTest test `scale` makes a whole run.
 #include "lab/scale.h"
 
 #include <doctest/doctest.h>
@@ -22,21 +22,25 @@
 
 const std::vector<double> kSizes{344, 1376, 5500, 22000, 44000};
 
-Figure figure(const std::string& name, const std::function<double(double)>& of) {
-  Figure one;
-  one.name = name, one.variant = "off", one.unit = "cores", one.xName = "engines", one.xs = kSizes;
+Figure figureOf(const std::string& name, const std::function<double(double)>& valueAt) {
+  Figure figure;
+  figure.name = name;
+  figure.variant = "off";
+  figure.unit = "cores";
+  figure.xName = "engines";
+  figure.xs = kSizes;
   for (double x : kSizes)
-    one.ys.push_back(of(x));
-  one.target = 44000;
-  return one;
+    figure.ys.push_back(valueAt(x));
+  figure.target = 44000;
+  return figure;
 }
 
-struct Folder {  // of one test
-  Folder() {
+struct TemporaryFolder {
+  TemporaryFolder() {
     char name[] = "/tmp/elmcleat-scale-test-XXXXXX";
     path = std::string(mkdtemp(name)) + "/";
   }
-  ~Folder() { std::filesystem::remove_all(path); }
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
   std::string write(const std::string& name, const std::string& text) const {
     std::ofstream(path + name) << text;
     return path + name;
@@ -44,71 +48,75 @@
   std::string path;
 };
 
-std::vector<std::string> faultsOf(const std::function<void()>& act) {
+std::vector<std::string> errorsOf(const std::function<void()>& action) {
   try {
-    act();
+    action();
   } catch (const ValidationErrors& errors) {
     return errors.messages;
   }
   return {};
 }
 
-Json plan() {
+Json minimalPlan() {
   return {
       {"name", "test"}, {"mostSeconds", 10}, {"runs", {{{"engines", {16}}, {"steps", {{{"do", "quiet"}}}}}}}};
 }
 
 }  // namespace
 
-TEST_CASE("A line and a power are found again, and the better one is told") {
-  auto line = figure("a", [](double x) { return 0.004 + 2e-5 * x; }).fits();
+TEST_CASE("A line and a power law are recovered from exact points, and the better one is chosen") {
+  auto line = figureOf("a", [](double x) { return 0.004 + 2e-5 * x; }).fits();
   CHECK(line.best == Growth::line);
   CHECK(line.line->a == doctest::Approx(0.004));
   CHECK(line.line->b == doctest::Approx(2e-5));
   CHECK(line.line->r2 == doctest::Approx(1));
   CHECK(*line.at(100000) == doctest::Approx(2.004));
-  CHECK(*line.reaches(0.03) == doctest::Approx(1300));
-  auto power = figure("b", [](double x) { return 3e-6 * std::pow(x, 1.4); }).fits();
+  CHECK(*line.inverse(0.03) == doctest::Approx(1300));
+  auto power = figureOf("b", [](double x) { return 3e-6 * std::pow(x, 1.4); }).fits();
   CHECK(power.best == Growth::power);
   CHECK(power.power->a == doctest::Approx(3e-6));
   CHECK(power.power->b == doctest::Approx(1.4));
-  CHECK(*power.reaches(3e-6 * std::pow(9000, 1.4)) == doctest::Approx(9000));
+  CHECK(*power.inverse(3e-6 * std::pow(9000, 1.4)) == doctest::Approx(9000));
 }
 
-TEST_CASE("What neither a line nor a power fits is told as such, and nothing is reckoned from it") {
-  Figure one = figure("a", [](double x) { return x == 1376 || x == 22000 ? 5 : 0.2; });
-  CHECK(one.fits().best == Growth::none);
-  one.target = 100000;
-  CHECK_FALSE(one.atTarget());
-  one.ys = {1, 2}, one.xs = {344, 1376};
-  CHECK_FALSE(one.fits().line);  // two points lie on any line
+TEST_CASE("A figure that neither a line nor a power law fits is marked so, and not extrapolated") {
+  Figure figure = figureOf("a", [](double x) { return x == 1376 || x == 22000 ? 5 : 0.2; });
+  CHECK(figure.fits().best == Growth::none);
+  figure.target = 100000;
+  CHECK_FALSE(figure.atTarget());
+  figure.ys = {1, 2};
+  figure.xs = {344, 1376};
+  CHECK_FALSE(figure.fits().line);  // any two points lie on a line
 }
 
-TEST_CASE("A limit is passed between two sizes measured, or where the fit has it, or nowhere") {
-  Figure one = figure("a", [](double x) { return 2e-5 * x; });
-  CHECK_FALSE(one.passedAt());
-  one.limit = 0.03;
-  CHECK(*one.passedAt() == doctest::Approx(1500));
-  one.limit = 2;
-  CHECK(*one.passedAt() == doctest::Approx(100000));
-  one.limit = 1e-9;
-  CHECK(*one.passedAt() == doctest::Approx(344));
-  CHECK(one.measuredAtTarget());
-  CHECK(*one.atTarget() == doctest::Approx(0.88));
-  one.target = 88000;
-  CHECK_FALSE(one.measuredAtTarget());
-  CHECK(*one.atTarget() == doctest::Approx(1.76));
-  Figure flat = figure("b", [](double) { return 5.0; });
+TEST_CASE("A limit is exceeded between two measured sizes, or where the fit predicts it, or nowhere") {
+  Figure figure = figureOf("a", [](double x) { return 2e-5 * x; });
+  CHECK_FALSE(figure.limitExceededAt());
+  figure.limit = 0.03;
+  CHECK(*figure.limitExceededAt() == doctest::Approx(1500));
+  figure.limit = 2;
+  CHECK(*figure.limitExceededAt() == doctest::Approx(100000));
+  figure.limit = 1e-9;
+  CHECK(*figure.limitExceededAt() == doctest::Approx(344));
+  CHECK(figure.measuredAtTarget());
+  CHECK(*figure.atTarget() == doctest::Approx(0.88));
+  figure.target = 88000;
+  CHECK_FALSE(figure.measuredAtTarget());
+  CHECK(*figure.atTarget() == doctest::Approx(1.76));
+  Figure flat = figureOf("b", [](double) { return 5.0; });
   flat.limit = 6;
-  CHECK_FALSE(flat.passedAt());
+  CHECK_FALSE(flat.limitExceededAt());
 }
 
-TEST_CASE("A figures file is read as it was written; a faulty one is refused by its key") {
-  Folder folder;
+TEST_CASE("A figures file is read as it was written; errors in one name their key") {
+  TemporaryFolder folder;
   FiguresFile file;
-  file.machine = machineHere(), file.plan = plan();
-  file.figures = {figure("control.x0.cores", [](double x) { return 2e-5 * x; })};
-  file.figures[0].limit = 0.03, file.figures[0].repeats = {{1, 2}}, file.figures[0].note = "a note";
+  file.machine = machineHere();
+  file.plan = minimalPlan();
+  file.figures = {figureOf("control.x0.cores", [](double x) { return 2e-5 * x; })};
+  file.figures[0].limit = 0.03;
+  file.figures[0].repeats = {{1, 2}};
+  file.figures[0].note = "a note";
   file.missing = {{"zone", "view", "because", 5500}};
   writeFigures(folder.path + "a.json", file);
   FiguresFile read = readFigures(folder.path + "a.json");
@@ -120,56 +128,61 @@
   CHECK(read.machine["cores"] == file.machine["cores"]);
   Json document = readJson(folder.path + "a.json");
   document["figures"][0]["xs"][0] = "many";
-  auto errors = faultsOf([&] { readFigures(folder.write("b.json", document.dump())); });
+  auto errors = errorsOf([&] { readFigures(folder.write("b.json", document.dump())); });
   REQUIRE_FALSE(errors.empty());
   CHECK(errors[0].find("xs") != std::string::npos);
   document["figures"][0]["xs"] = {344};
-  CHECK(faultsOf([&] { readFigures(folder.write("b.json", document.dump())); }).size() == 1);
+  CHECK(errorsOf([&] { readFigures(folder.write("b.json", document.dump())); }).size() == 1);
 }
 
-TEST_CASE("A plan's faults name their key") {
-  Folder folder;
+TEST_CASE("Errors in a plan name their key") {
+  TemporaryFolder folder;
   auto errors = [&](const Json& document) {
-    return faultsOf([&] { readScalePlan(folder.write("p.json", document.dump())); });
+    return errorsOf([&] { readScalePlan(folder.write("p.json", document.dump())); });
   };
-  CHECK(errors(plan()).empty());
-  for (auto& [at, value] : std::vector<std::pair<std::string, Json>>{{"/mostSeconds", 100000},
-                                                                     {"/real", 9},
-                                                                     {"/runs/0/engines/0", 100000},
-                                                                     {"/runs/0/steps/0/do", "dance"},
-                                                                     {"/runs/0/variants", {"none"}},
-                                                                     {"/surprise", 1}}) {
-    Json bad = plan();
-    bad[Json::json_pointer(at)] = value;
+  CHECK(errors(minimalPlan()).empty());
+  for (auto& [pointer, value] : std::vector<std::pair<std::string, Json>>{{"/mostSeconds", 100000},
+                                                                          {"/real", 9},
+                                                                          {"/runs/0/engines/0", 100000},
+                                                                          {"/runs/0/steps/0/do", "dance"},
+                                                                          {"/runs/0/variants", {"none"}},
+                                                                          {"/surprise", 1}}) {
+    Json bad = minimalPlan();
+    bad[Json::json_pointer(pointer)] = value;
     auto found = errors(bad);
-    CAPTURE(at);
+    CAPTURE(pointer);
     CHECK_FALSE(found.empty());
   }
 }
 
-TEST_CASE("Expectations: values, exponents, and figures that were not taken") {
-  ScalePlan wants;
+TEST_CASE("Expectations: values, exponents, and figures that are missing") {
+  ScalePlan plan;
   FiguresFile file;
-  file.figures = {figure("lines", [](double) { return 1.0; }), figure("memory", [](double x) { return x; })};
-  Expectation one;
-  one.figure = "lines", one.most = 1.2, one.mostExponent = 0.1;
-  wants.expect = {one};
-  CHECK(unmet(wants, file).empty());
-  one.figure = "memory", one.most.reset();
-  wants.expect = {one};
-  CHECK(unmet(wants, file).size() == 1);
-  one.mostExponent = 1.01, one.least = 400;
-  wants.expect = {one};
-  CHECK(unmet(wants, file).size() == 1);
-  one.figure = "none";
-  wants.expect = {one};
-  CHECK(unmet(wants, file).size() == 1);
+  file.figures = {figureOf("lines", [](double) { return 1.0; }),
+                  figureOf("memory", [](double x) { return x; })};
+  Expectation expectation;
+  expectation.figure = "lines";
+  expectation.maximum = 1.2;
+  expectation.maxExponent = 0.1;
+  plan.expectations = {expectation};
+  CHECK(unmet(plan, file).empty());
+  expectation.figure = "memory";
+  expectation.maximum.reset();
+  plan.expectations = {expectation};
+  CHECK(unmet(plan, file).size() == 1);
+  expectation.maxExponent = 1.01;
+  expectation.minimum = 400;
+  plan.expectations = {expectation};
+  CHECK(unmet(plan, file).size() == 1);
+  expectation.figure = "none";
+  plan.expectations = {expectation};
+  CHECK(unmet(plan, file).size() == 1);
 }
 
-TEST_CASE("The page is filled from the files, and a figure changed by hand is found") {
+TEST_CASE("The capacity page is generated from the files, and a manual change to a figure is detected") {
   FiguresFile file;
-  file.figures = {figure("control.x0.cores", [](double x) { return 2e-5 * x; }),
-                  figure("memory.engines", [](double x) { return 0.002 * x; })};
+  file.figures = {figureOf("control.x0.cores", [](double x) { return 2e-5 * x; }),
+                  figureOf("memory.engines", [](double x) { return 0.002 * x; })};
   file.missing = {{"control.x16.cores", "view", "not run", 5500}};
   const std::string empty = "# Page\n\n<!-- scale: control. -->\n<!-- /scale -->\n\nText\n";
   CHECK(firstDifference(empty, {file}));
@@ -184,22 +197,25 @@
   auto difference = firstDifference(changed, {file});
   REQUIRE(difference);
   CHECK(difference->starts_with("line 6 "));
-  CHECK_FALSE(faultsOf([&] { filled("<!-- scale: control. -->\n", {file}); }).empty());
-  CHECK_FALSE(faultsOf([&] { filled("<!-- scale: nothing -->\n<!-- /scale -->\n", {file}); }).empty());
+  CHECK_FALSE(errorsOf([&] { filled("<!-- scale: control. -->\n", {file}); }).empty());
+  CHECK_FALSE(errorsOf([&] { filled("<!-- scale: nothing -->\n<!-- /scale -->\n", {file}); }).empty());
 }
 
-TEST_CASE("Bounds: time, processes, memory") {
+TEST_CASE("Limits of a run: time, processes, memory") {
   ScaleBounds bounds;
-  bounds.endsAt = secondsNow() + 60, bounds.mostMb = 1e6, bounds.processes = {getpid()};
-  CHECK(faultsOf([&] { bounds.check(); }).empty());
-  bounds.mostMb = 1;
-  CHECK(faultsOf([&] { bounds.check(); }).size() == 1);
-  bounds.mostMb = 1e6, bounds.endsAt = secondsNow() - 1;
-  CHECK(faultsOf([&] { bounds.check(); }).size() == 1);
-  bounds.endsAt += 60;
+  bounds.deadline = secondsNow() + 60;
+  bounds.maxMemoryMb = 1e6;
+  bounds.processes = {getpid()};
+  CHECK(errorsOf([&] { bounds.check(); }).empty());
+  bounds.maxMemoryMb = 1;
+  CHECK(errorsOf([&] { bounds.check(); }).size() == 1);
+  bounds.maxMemoryMb = 1e6;
+  bounds.deadline = secondsNow() - 1;
+  CHECK(errorsOf([&] { bounds.check(); }).size() == 1);
+  bounds.deadline += 60;
   for (pid_t pid = 1'000'000; pid < 1'000'199; ++pid)
     bounds.processes.insert(pid);
-  CHECK(faultsOf([&] { bounds.check(); }).size() == 1);
+  CHECK(errorsOf([&] { bounds.check(); }).size() == 1);
 }
 
 TEST_CASE("A killed run leaves no process and no folder") {
@@ -208,28 +224,33 @@
   pid_t tool = fork();
   if (tool == 0) {
     ScaleFolder folder;
-    Child child([](int) { alarm(20), pause(); });  // an end also where the guard is gone
-    std::string said = std::to_string(child.pid()) + " " + folder.path + "\n";
-    (void)!::write(ends[1], said.data(), said.size());
+    Child child([](int) {
+      alarm(20);  // ends it in any case, even if it does not receive its parent's death signal
+      pause();
+    });
+    std::string line = std::to_string(child.pid()) + " " + folder.path + "\n";
+    (void)!::write(ends[1], line.data(), line.size());
     pause();
   }
   char text[128] = {};
   REQUIRE(::read(ends[0], text, sizeof text - 1) > 0);
-  ::close(ends[0]), ::close(ends[1]);
-  std::istringstream said(text);
+  ::close(ends[0]);
+  ::close(ends[1]);
+  std::istringstream words(text);
   pid_t child = 0;
   std::string path;
-  said >> child >> path;
+  words >> child >> path;
   CHECK(std::filesystem::exists(path));
   ::kill(tool, SIGKILL);
   waitpid(tool, nullptr, 0);
-  auto runs = [&] {  // a zombie, until who inherits it has waited for it, runs no more
+  // A zombie that its new parent has not waited for yet counts as ended.
+  auto isRunning = [&] {
     std::ifstream file("/proc/" + std::to_string(child) + "/stat");
     std::string pid, name, state;
     return bool(file >> pid >> name >> state) && state != "Z";
   };
-  for (int i = 0; i < 500 && (std::filesystem::exists(path) || runs()); ++i)
+  for (int i = 0; i < 500 && (std::filesystem::exists(path) || isRunning()); ++i)
     usleep(10'000);
   CHECK_FALSE(std::filesystem::exists(path));
-  CHECK_FALSE(runs());
+  CHECK_FALSE(isRunning());
 }
--- a/tests/seeds.h
+++ b/tests/seeds.h
@@ -1,23 +1,24 @@
-// Which seeds a test of random faults plays: ELMCLEAT_SEED the one, else ELMCLEAT_SEEDS from 1 on; a tenth under the address
-// sanitizer, where each takes ten times as long.
+// The seeds that a test of random faults runs with: the one of ELMCLEAT_SEED, or else 1 to ELMCLEAT_SEEDS.
+// Under the address sanitizer the default is a tenth, since each takes ten times as long.
 #pragma once
 #include <cstdlib>
 
 struct Seeds {
-  int first, last;
+  int first;
+  int last;
 };
 
 inline Seeds seedsToPlay() {
-  auto number = [](const char* name, int otherwise) {
-    const char* text = std::getenv(name);
-    return text ? std::atoi(text) : otherwise;
+  auto numberFrom = [](const char* variable, int fallback) {
+    const char* text = std::getenv(variable);
+    return text ? std::atoi(text) : fallback;
   };
 #ifdef __SANITIZE_ADDRESS__
-  constexpr int kUsual = 20;
+  constexpr int kDefaultCount = 20;
 #else
-  constexpr int kUsual = 200;
+  constexpr int kDefaultCount = 200;
 #endif
-  if (int one = number("ELMCLEAT_SEED", 0))
-    return {one, one};
-  return {1, number("ELMCLEAT_SEEDS", kUsual)};
+  if (int seed = numberFrom("ELMCLEAT_SEED", 0))
+    return {seed, seed};
+  return {1, numberFrom("ELMCLEAT_SEEDS", kDefaultCount)};
 }
