--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -12,12 +12,12 @@
 
 std::string bounds(const Verdict& verdict) {
   std::ostringstream text;
-  if (verdict.least)
-    text << "at least " << *verdict.least;
-  if (verdict.least && verdict.most)
+  if (verdict.minimum)
+    text << "at least " << *verdict.minimum;
+  if (verdict.minimum && verdict.maximum)
     text << ", ";
-  if (verdict.most)
-    text << "at most " << *verdict.most;
+  if (verdict.maximum)
+    text << "at most " << *verdict.maximum;
   return text.str();
 }
 
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-std::map<std::string, double> meanFigures(const Scenario& scene, const std::vector<Run>& runs) {
+std::map<std::string, double> meanFigures(const Scenario& scenario, const std::vector<Run>& runs) {
   std::map<std::string, std::pair<double, double>> sums;
   for (auto& run : runs)
     for (auto& [name, value] : run.figures) {
@@ -47,7 +47,7 @@
     figures[name] = sum.first / sum.second;
   if (auto whole = figures.find("whole:benefit"); whole != figures.end())
     figures["gained"] = figures["benefit"] - whole->second;
-  for (auto& team : scene.teams) {
+  for (auto& team : scenario.teams) {
     auto calm = figures.find("calm:benefit." + team.name);
     if (calm == figures.end())
       continue;
@@ -58,22 +58,23 @@
   return figures;
 }
 
-std::vector<Verdict> checkExpectations(const Scenario& scene, const std::map<std::string, double>& figures) {
+std::vector<Verdict> checkExpectations(const Scenario& scenario,
+                                       const std::map<std::string, double>& figures) {
   std::vector<Verdict> verdicts;
-  for (auto& expect : scene.expect) {
-    Verdict verdict{expect.figure, NAN, expect.least, expect.most, false};
+  for (auto& expect : scenario.expectations) {
+    Verdict verdict{expect.figure, NAN, expect.minimum, expect.maximum, false};
     if (auto found = figures.find(expect.figure); found != figures.end())
       verdict.value = found->second;
-    verdict.met = !std::isnan(verdict.value) && verdict.value >= verdict.least.value_or(-HUGE_VAL) &&
-                  verdict.value <= verdict.most.value_or(HUGE_VAL);
+    verdict.met = !std::isnan(verdict.value) && verdict.value >= verdict.minimum.value_or(-HUGE_VAL) &&
+                  verdict.value <= verdict.maximum.value_or(HUGE_VAL);
     verdicts.push_back(verdict);
   }
   return verdicts;
 }
 
-void printTable(std::ostream& to, const Scenario& scene, const std::vector<Run>& runs,
+void printTable(std::ostream& output, const Scenario& scenario, const std::vector<Run>& runs,
                 const std::map<std::string, double>& figures, const std::vector<Verdict>& verdicts) {
-  to << scene.name << ": " << scene.about << '\n';
+  output << scenario.name << ": " << scenario.description << '\n';
   std::set<std::string> names;
   std::vector<std::string> variants;
   for (auto& run : runs) {
@@ -82,45 +83,45 @@
     for (auto& [name, value] : run.figures)
       names.insert(name);
   }
-  to << std::left << std::setw(26) << "figure";
+  output << std::left << std::setw(26) << "figure";
   for (auto& variant : variants)
-    to << std::right << std::setw(12) << (variant.empty() ? "module" : variant);
-  to << '\n' << std::fixed << std::setprecision(3);
+    output << std::right << std::setw(12) << (variant.empty() ? "module" : variant);
+  output << '\n' << std::fixed << std::setprecision(3);
   for (auto& name : names) {
-    to << std::left << std::setw(26) << name << std::right;
+    output << std::left << std::setw(26) << name << std::right;
     for (auto& variant : variants) {
       auto found = figures.find((variant.empty() ? "" : variant + ":") + name);
       if (found == figures.end())
-        to << std::setw(12) << "-";
+        output << std::setw(12) << "-";
       else
-        to << std::setw(12) << found->second;
+        output << std::setw(12) << found->second;
     }
-    to << '\n';
+    output << '\n';
   }
   for (auto& verdict : verdicts)
-    to << (verdict.met ? "met     " : "NOT MET ") << verdict.figure << " is " << verdict.value
-       << ", expected " << bounds(verdict) << '\n';
+    output << (verdict.met ? "met     " : "NOT MET ") << verdict.figure << " is " << verdict.value
+           << ", expected " << bounds(verdict) << '\n';
   for (auto& run : runs)
-    for (auto& line : run.broken)
-      to << "BROKEN  " << (run.variant.empty() ? "" : run.variant + ", ") << "seed " << run.seed << ": "
-         << line << '\n';
+    for (auto& line : run.violations)
+      output << "BROKEN  " << (run.variant.empty() ? "" : run.variant + ", ") << "seed " << run.seed << ": "
+             << line << '\n';
 }
 
-void writeReport(const std::string& folder, const Scenario& scene, const std::vector<Run>& runs,
+void writeReport(const std::string& folder, const Scenario& scenario, const std::vector<Run>& runs,
                  const std::map<std::string, double>& figures, const std::vector<Verdict>& verdicts) {
   std::filesystem::create_directories(folder);
-  Json result{{"scenario", scene.name}, {"figures", figures}};
+  Json result{{"scenario", scenario.name}, {"figures", figures}};
   for (auto& verdict : verdicts)
     result["expect"].push_back({{"figure", verdict.figure}, {"value", verdict.value}, {"met", verdict.met}});
   for (auto& run : runs)
     result["runs"].push_back(
-        {{"variant", run.variant}, {"seed", run.seed}, {"figures", run.figures}, {"broken", run.broken}});
+        {{"variant", run.variant}, {"seed", run.seed}, {"figures", run.figures}, {"broken", run.violations}});
   std::ofstream(folder + "/result.json") << result.dump(2) << '\n';
 
-  std::string page = "<!doctype html><meta charset=utf-8><title>" + scene.name + "</title><h1>" + scene.name +
-                     "</h1><p>" + scene.about + "</p>";
+  std::string page = "<!doctype html><meta charset=utf-8><title>" + scenario.name + "</title><h1>" +
+                     scenario.name + "</h1><p>" + scenario.description + "</p>";
   std::ostringstream table;
-  printTable(table, scene, runs, figures, verdicts);
+  printTable(table, scenario, runs, figures, verdicts);
   page += "<pre>" + table.str() + "</pre>";
   std::set<std::string> drawn;
   for (auto& run : runs) {
@@ -130,16 +131,16 @@
     std::ofstream data(folder + "/" + name + ".dat");
     for (size_t t = 0; t + 1 < run.record.seconds.size(); ++t) {
       auto& second = run.record.seconds[t];
-      data << t << ' ' << second.held << ' ' << second.busy;
-      for (size_t i = 0; i < scene.teams.size(); ++i)
-        data << ' ' << second.asked[i] << ' ' << second.earned[i];
+      data << t << ' ' << second.waitingCommands << ' ' << second.busyCoreShare;
+      for (size_t i = 0; i < scenario.teams.size(); ++i)
+        data << ' ' << second.offeredBenefit[i] << ' ' << second.earnedBenefit[i];
       data << '\n';
     }
     data.close();
     std::string file = folder + "/" + name + ".dat", teams, comma;
-    for (size_t i = 0; i < scene.teams.size(); ++i, comma = ", ")
+    for (size_t i = 0; i < scenario.teams.size(); ++i, comma = ", ")
       teams += comma + "'" + file + "' using 1:" + std::to_string(5 + 2 * i) + " with lines title '" +
-               scene.teams[i].name + "', '' using 1:" + std::to_string(4 + 2 * i) +
+               scenario.teams[i].name + "', '' using 1:" + std::to_string(4 + 2 * i) +
                " with lines dt 2 title 'asked'";
     if (plot(folder, name + "-benefit",
              "set title '" + name + ": benefit a second, earned and asked'\nplot " + teams + "\n"))
@@ -152,8 +153,9 @@
       continue;
     std::ofstream waits(folder + "/" + name + "-waits.dat");
     for (auto& wait : run.record.waits)
-      if (wait.seen > 0.02)
-        waits << wait.at << ' ' << wait.seen << ' ' << wait.half << ' ' << wait.nine << '\n';
+      if (wait.measured > 0.02)
+        waits << wait.arrivedAt << ' ' << wait.measured << ' ' << wait.predictedMedian << ' '
+              << wait.predictedP90 << '\n';
     waits.close();
     std::string from = folder + "/" + name + "-waits.dat";
     if (plot(folder, name + "-waits",
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -9,9 +9,9 @@
 Disturbance readTrouble(const Section& row) {
   Disturbance disturbance;
   disturbance.kind = row.required<std::string>("kind");
-  disturbance.at = row.required<double>("at"), disturbance.lasts = row.get("lasts", 1e9);
+  disturbance.start = row.required<double>("at"), disturbance.duration = row.get("lasts", 1e9);
   disturbance.team = row.get<std::string>("team", "");
-  disturbance.times = row.get("times", 1.0), disturbance.part = row.get("part", 1.0);
+  disturbance.factor = row.get("times", 1.0), disturbance.engineShare = row.get("part", 1.0);
   disturbance.zone = row.get<std::string>("zone", ""),
   disturbance.steps = row.get("steps", disturbance.steps);
   if (row.has("budgets"))
@@ -27,31 +27,35 @@
   if (!errors.empty())
     throw ValidationErrors(std::move(errors));
   const Section file(document);
-  Scenario scene;
-  scene.name = file.required<std::string>("name"), scene.about = file.get<std::string>("about", "");
-  scene.duration = file.get("lasts", scene.duration),
-  scene.measuredFrom = file.get("from", scene.measuredFrom);
-  scene.retries = file.get("retries", 0.0);
+  Scenario scenario;
+  scenario.name = file.required<std::string>("name"),
+  scenario.description = file.get<std::string>("about", "");
+  scenario.duration = file.get("lasts", scenario.duration),
+  scenario.measuredFrom = file.get("from", scenario.measuredFrom);
+  scenario.retries = file.get("retries", 0.0);
 
   const Section fleet = file.subsection("fleet");
-  Fleet& f = scene.fleet;
+  Fleet& f = scenario.fleet;
   f.engines = fleet.get("engines", f.engines), f.gateways = fleet.get("gateways", f.gateways);
   f.hardware.cores = fleet.get("cores", f.hardware.cores),
   f.hardware.memoryMb = fleet.get("memoryMb", f.hardware.memoryMb);
   f.hardware.speed = fleet.get("speed", f.hardware.speed);
   f.zones = fleet.get("zones", f.zones);
-  f.delay = fleet.get("delay", f.delay), f.listLag = fleet.get("listLag", f.listLag);
-  f.reports = fleet.get("reports", f.reports);
-  f.knee = fleet.get("knee", f.knee), f.fall = fleet.get("fall", f.fall);
+  f.networkDelay = fleet.get("delay", f.networkDelay), f.listLag = fleet.get("listLag", f.listLag);
+  f.loadReports = fleet.get("reports", f.loadReports);
+  f.saturationThreadsPerCore = fleet.get("knee", f.saturationThreadsPerCore),
+  f.throughputLossPerThread = fleet.get("fall", f.throughputLossPerThread);
   f.spillCost = fleet.get("spillCost", f.spillCost);
-  f.coldFrom = fleet.get("coldFrom", f.coldFrom), f.coldTime = fleet.get("coldTime", f.coldTime);
-  f.fallMultiple = fleet.get("fallMultiple", f.fallMultiple), f.fallTime = fleet.get("fallTime", f.fallTime);
+  f.coldCapacity = fleet.get("coldFrom", f.coldCapacity),
+  f.coldDuration = fleet.get("coldTime", f.coldDuration);
+  f.coldOverloadFactor = fleet.get("fallMultiple", f.coldOverloadFactor),
+  f.coldOverloadWindow = fleet.get("fallTime", f.coldOverloadWindow);
 
-  Settings& set = scene.settings;
+  Settings& set = scenario.settings;
   set.gatewayCount = f.gateways, set.zone = f.zones.front();
   set.engineKinds = {{f.hardware.name, f.hardware.cores, f.hardware.memoryMb}};
-  set.coldCapacity = f.coldFrom, set.coldDuration = f.coldTime, set.coldOverloadFactor = f.fallMultiple,
-  set.coldOverloadWindow = f.fallTime;
+  set.coldCapacity = f.coldCapacity, set.coldDuration = f.coldDuration,
+  set.coldOverloadFactor = f.coldOverloadFactor, set.coldOverloadWindow = f.coldOverloadWindow;
   set.maxSends = fleet.get("maxSends", 3);
   set.cancelSupported = fleet.get("cancel", true), set.prioritiesSupported = fleet.get("priorities", true);
   for (auto& row : file.items("profiles")) {
@@ -68,14 +72,15 @@
                                                    {"non-replayable", RetrySafety::nonReplayable}});
     profile.deduplicationWindow = row.get("memorySpan", 60.0);
     set.profiles.push_back(profile);
-    scene.work.push_back({row.get("work", 0.2), row.get("spread", 0.5), row.get("memoryMb", 0.0)});
+    scenario.workByProfile.push_back(
+        {row.get("work", 0.2), row.get("spread", 0.5), row.get("memoryMb", 0.0)});
   }
   double all = 0;
   for (auto& row : file.items("teams")) {
-    Team& team = scene.teams.emplace_back();
+    Team& team = scenario.teams.emplace_back();
     team.name = row.required<std::string>("name"), team.rate = row.get("rate", 10.0);
-    team.users = row.get("users", 0), team.estimateOver = row.get("estimateOver", 1.0);
-    team.gates = row.get("gates", 1.0);
+    team.users = row.get("users", 0), team.workPerEstimate = row.get("estimateOver", 1.0);
+    team.gatewayShare = row.get("gates", 1.0);
     for (auto& mix : row.items("mix"))
       team.mix.push_back({mix.required<std::string>("profile"), mix.get("part", 1.0)});
     if (team.mix.empty())
@@ -87,32 +92,33 @@
   for (auto& tenant : set.tenants)
     tenant.share /= all;
   for (auto& row : file.items("troubles"))
-    scene.disturbances.push_back(readTrouble(row));
+    scenario.disturbances.push_back(readTrouble(row));
   if (file.has("budgets")) {
-    scene.budgets = readBudgetSettings(file.subsection("budgets")), scene.budgetsText = document["budgets"];
-    for (auto& fault : budget::validate(*scene.budgets))
+    scenario.budgets = readBudgetSettings(file.subsection("budgets")),
+    scenario.budgetsJson = document["budgets"];
+    for (auto& fault : budget::validate(*scenario.budgets))
       errors.push_back(path + ": budgets." + fault.key + ": " + fault.message);
   }
-  if (file.has("shared") && scene.budgets) {
+  if (file.has("shared") && scenario.budgets) {
     const Section section = file.subsection("shared");
-    auto terms = readLeaseSettings(section, f.gateways, *scene.budgets);
+    auto terms = readLeaseSettings(section, f.gateways, *scenario.budgets);
     for (auto& error : shared::validate(terms))
       errors.push_back(path + ": shared." + error.key + ": " + error.message);
-    scene.shared = terms;
+    scenario.leases = terms;
   }
   if (file.has("view")) {
-    scene.view = readSubsetSettings(file.subsection("view"));
-    for (auto& error : view::validate(*scene.view))
+    scenario.subset = readSubsetSettings(file.subsection("view"));
+    for (auto& error : view::validate(*scenario.subset))
       errors.push_back(path + ": view." + error.key + ": " + error.message);
   }
-  scene.comparedVariants = file.get("against", scene.comparedVariants);
+  scenario.comparedVariants = file.get("against", scenario.comparedVariants);
   for (auto& row : file.items("expect")) {
     FigureBounds expect{row.required<std::string>("figure"), {}, {}};
     if (row.has("least"))
-      expect.least = row.required<double>("least");
+      expect.minimum = row.required<double>("least");
     if (row.has("most"))
-      expect.most = row.required<double>("most");
-    scene.expect.push_back(expect);
+      expect.maximum = row.required<double>("most");
+    scenario.expectations.push_back(expect);
   }
   auto known = [&](const std::string& name) {
     for (auto& profile : set.profiles)
@@ -120,14 +126,14 @@
         return true;
     return false;
   };
-  for (size_t i = 0; i < scene.teams.size(); ++i)
-    for (auto& mix : scene.teams[i].mix)
+  for (size_t i = 0; i < scenario.teams.size(); ++i)
+    for (auto& mix : scenario.teams[i].mix)
       if (!known(mix.profile))
         errors.push_back(path + ": teams[" + std::to_string(i) + "].mix: '" + mix.profile +
                          "' is no profile here");
   if (!errors.empty())
     throw ValidationErrors(std::move(errors));
-  return scene;
+  return scenario;
 }
 
 }  // namespace elmcleat::lab
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -1,4 +1,5 @@
-// A scenario of the laboratory: a fleet, who asks for what, what goes wrong, and what is expected of it.
+// A laboratory scenario: the fleet, its tenants and their traffic, the disturbances, and the expected figures.
+// Scenarios are JSON files (lab/scenarios/*.json); keys of the file are given where they differ from a member's name.
 #pragma once
 #include <map>
 #include <optional>
@@ -13,77 +14,98 @@
 
 namespace elmcleat::lab {
 
-struct EngineHardware {  // all figures are the scenario's
+struct EngineHardware {
   std::string name = "std";
-  double cores = 8, memoryMb = 0;  // 0: memory never runs short
-  double speed = 1;                // of a core, against the yardstick
+  double cores = 8;
+  double memoryMb = 0;  // 0: unlimited
+  double speed = 1;     // of one core, relative to the core that work is measured on
 };
 
+// Engines and gateways, and the model that engines follow.
 struct Fleet {
-  int engines = 8, gateways = 1;
+  int engines = 8;
+  int gateways = 1;
   EngineHardware hardware;
-  std::vector<std::string> zones{"east"};
-  double delay = 0.0005;        // seconds, one way
-  double listLag = 1;           // seconds until the list tells
-  double knee = 2, fall = 0.1;  // threads a core beyond which work done falls, by how much a thread
-  double spillCost = 1.5;       // more work, with no memory at all
-  int warmGroups = 4;           // groups of tables that stay warm
-  double warmSaves = 0.2;       // part of the work that a warm group saves
-  bool reports = false;         // answers carry load reports
-  double coldFrom = 0.4, coldTime = 10, fallMultiple = 0, fallTime = 1;
+  std::vector<std::string> zones{"east"};  // engines are assigned round-robin
+  double networkDelay = 0.0005;            // seconds, one way; key "delay"
+  double listLag = 1;  // seconds from a change of an engine to the engine list that reports it
+  double saturationThreadsPerCore = 2;   // throughput falls above this; key "knee"
+  double throughputLossPerThread = 0.1;  // per thread per core above saturation; key "fall"
+  double spillCost = 1.5;                // additional work, relative, of commands that have no memory at all
+  int warmTableGroups = 4;               // table groups that an engine keeps in its cache
+  double warmSavings = 0.2;              // share of the work that a cached table group saves
+  bool loadReports = false;              // responses carry load reports; key "reports"
+  // A restarted engine begins with this share of its capacity, which rises linearly to 1 over coldDuration seconds.
+  // It fails if the work that it gets within coldOverloadWindow seconds exceeds coldOverloadFactor times its capacity
+  // (0: never). Keys "coldFrom", "coldTime", "fallMultiple", "fallTime".
+  double coldCapacity = 0.4;
+  double coldDuration = 10;
+  double coldOverloadFactor = 0;
+  double coldOverloadWindow = 1;
 };
 
 struct ProfileMix {
   std::string profile;
-  double part = 1;
+  double weight = 1;  // relative to the others of the mix; key "part"
 };
-struct Team {  // who asks: a tenant
+
+// A tenant and its traffic.
+struct Team {
   std::string name;
-  double rate = 10;         // commands a second, of the whole installation
-  int users = 0;            // names below it, each as likely; 0: none
-  double estimateOver = 1;  // work over its estimate
-  double gates = 1;         // part of the gateways that its commands come to
+  double rate = 10;            // commands a second, over all gateways
+  int users = 0;               // equally likely users of the tenant; 0: none
+  double workPerEstimate = 1;  // actual over estimated work; key "estimateOver"
+  double gatewayShare = 1;     // share of the gateways that its commands are sent to; key "gates"
   std::vector<ProfileMix> mix;
 };
-struct WorkDistribution {           // of a profile's commands
-  double mean = 0.2, spread = 0.5;  // seconds on one core; sigma of the logarithm
+
+// Log-normal distribution of the work of a profile's commands.
+struct WorkDistribution {
+  double mean = 0.2;    // seconds on one core
+  double spread = 0.5;  // standard deviation of the logarithm
   double memoryMb = 0;
 };
 
+// A change of traffic, a fault, or an operator's action.
 struct Disturbance {
   std::string kind;  // burst, quiet, slow, silent, failing, lose, roll, drain, reload
-  double at = 0, lasts = 0;
-  std::string team;                                      // of burst and quiet
-  double times = 1;                                      // of burst: traffic; of slow: run times
-  double part = 1;                                       // of the engines
+  double start = 0;  // seconds; key "at"
+  double duration = 0;
+  std::string team;        // of burst and quiet
+  double factor = 1;       // burst: of the rate; slow: of the run times; key "times"
+  double engineShare = 1;  // share of the engines affected; key "part"
   std::optional<budget::BudgetSettings> budgetSettings;  // of reload
-  std::string zone = {};                                 // whose engines alone are meant; empty: all
-  int steps = 1;                                         // of a roll: in so many it replaces them
+  std::string zone = {};                                 // only engines of this zone; empty: all
+  int steps = 1;                                         // of a roll: number of batches
 };
 
-struct FigureBounds {  // a figure by its name, with bounds
+// An expectation: a figure's name and its allowed range. Keys "least", "most".
+struct FigureBounds {
   std::string figure;
-  std::optional<double> least, most;
+  std::optional<double> minimum;
+  std::optional<double> maximum;
 };
 
 struct Scenario {
-  std::string name, about;
-  double duration = 60, measuredFrom = 5;  // seconds; figures count from `from` on
+  std::string name;
+  std::string description;  // key "about"
+  double duration = 60;     // seconds
+  double measuredFrom = 5;  // seconds; figures leave out what came earlier
   Fleet fleet;
   Settings settings;
-  std::vector<WorkDistribution> work;  // by profile
+  std::vector<WorkDistribution> workByProfile;
   std::vector<Team> teams;
   std::vector<Disturbance> disturbances;
   std::optional<budget::BudgetSettings> budgets;
-  std::optional<shared::LeaseSettings> shared;  // budgets by loans; members and amounts are the fleet's
-  std::optional<view::SubsetSettings> view;     // gateways see only these engines
-  Json budgetsText;                             // the same as it stands in the file, for the program
-  double retries = 0;                           // times that a client asks again after a shed, after a second
-  std::vector<std::string> comparedVariants;    // plain, apart, whole, calm, fifo, random
-  std::vector<FigureBounds> expect;
+  std::optional<shared::LeaseSettings> leases;  // gateways share the budgets by leases; key "shared"
+  std::optional<view::SubsetSettings> subset;   // each gateway uses only a subset of the engines; key "view"
+  Json budgetsJson;    // section "budgets" as written, for runs of the real dispatcher
+  double retries = 0;  // per client: repeats of a shed command, each 1 s after the shed
+  std::vector<std::string> comparedVariants;  // plain, apart, whole, calm, fifo, random
+  std::vector<FigureBounds> expectations;
 };
 
-// Throws ValidationErrors with all that is wrong.
+// Throws ValidationErrors with all errors of the file.
 Scenario readScenario(const std::string& path);
 
 }  // namespace elmcleat::lab
--- a/src/lab/simulated_engine.cpp
+++ b/src/lab/simulated_engine.cpp
@@ -12,29 +12,30 @@
   return all;
 }
 
-double SimulatedEngine::cores(double now) const {
-  double warm =
-      startedAt && fleet_.coldTime > 0 ? std::clamp((now - *startedAt) / fleet_.coldTime, 0.0, 1.0) : 1;
-  return fleet_.hardware.cores * (fleet_.coldFrom + (1 - fleet_.coldFrom) * warm);
+double SimulatedEngine::availableCores(double now) const {
+  double warm = startedAt && fleet_.coldDuration > 0
+                    ? std::clamp((now - *startedAt) / fleet_.coldDuration, 0.0, 1.0)
+                    : 1;
+  return fleet_.hardware.cores * (fleet_.coldCapacity + (1 - fleet_.coldCapacity) * warm);
 }
 
-void SimulatedEngine::pass(double now) {
+void SimulatedEngine::advanceTo(double now) {
   for (auto& one : running_) {
-    one.left -= one.rate * (now - last_);
-    busy += one.rate * (now - last_);
+    one.remainingWork -= one.workRate * (now - lastUpdate_);
+    coreSecondsDone += one.workRate * (now - lastUpdate_);
   }
-  last_ = now;
+  lastUpdate_ = now;
 }
 
 // Cores go 1 : 4 : 8 : 16 by priority where they are short, none to more than its threads; past the knee less is done.
-void SimulatedEngine::share(double now) {
+void SimulatedEngine::assignRates(double now) {
   static constexpr double kWeights[] = {1, 4, 8, 16};
-  double all = threads(), able = cores(now) * fleet_.hardware.speed / times_;
-  if (double over = all / std::max(cores(now), 1e-9) - fleet_.knee; over > 0)
-    able /= 1 + fleet_.fall * over;
+  double all = threads(), able = availableCores(now) * fleet_.hardware.speed / slowdown_;
+  if (double over = all / std::max(availableCores(now), 1e-9) - fleet_.saturationThreadsPerCore; over > 0)
+    able /= 1 + fleet_.throughputLossPerThread * over;
   double memory = 0;
   for (auto& one : running_)
-    memory += one.memoryMb, one.rate = 0;
+    memory += one.memoryMb, one.workRate = 0;
   double spill = fleet_.hardware.memoryMb > 0 && memory > fleet_.hardware.memoryMb
                      ? 1 + fleet_.spillCost * (1 - fleet_.hardware.memoryMb / memory)
                      : 1;
@@ -49,90 +50,94 @@
     bool full = false;
     double given = 0;
     for (auto* one : open) {
-      double most = one->threads * fleet_.hardware.speed / times_;
+      double most = one->threads * fleet_.hardware.speed / slowdown_;
       double part = left * kWeights[std::clamp(one->priority, 0, 3)] * one->threads / weights;
       if (part >= most)
-        one->rate = most, given += most, full = true;
+        one->workRate = most, given += most, full = true;
     }
     if (!full) {
       for (auto* one : open)
-        one->rate = left * kWeights[std::clamp(one->priority, 0, 3)] * one->threads / weights;
+        one->workRate = left * kWeights[std::clamp(one->priority, 0, 3)] * one->threads / weights;
       break;
     }
     left -= given;
-    std::erase_if(open, [](auto* one) { return one->rate > 0; });
+    std::erase_if(open, [](auto* one) { return one->workRate > 0; });
   }
   for (auto& one : running_)
-    one.rate /= spill;
+    one.workRate /= spill;
 }
 
-bool SimulatedEngine::begin(double now, const RunningSend& send, uint64_t tables) {
+bool SimulatedEngine::startSend(double now, const RunningSend& send, uint64_t tableGroup) {
   if (!up)
     return false;
-  pass(now);
+  advanceTo(now);
   RunningSend one = send;
-  bool warm = std::ranges::find(warm_, tables) != warm_.end();
-  warm_.remove(tables), warm_.push_front(tables);
-  if (warm_.size() > size_t(fleet_.warmGroups))
-    warm_.pop_back();
+  bool warm = std::ranges::find(warmTableGroups_, tableGroup) != warmTableGroups_.end();
+  warmTableGroups_.remove(tableGroup), warmTableGroups_.push_front(tableGroup);
+  if (warmTableGroups_.size() > size_t(fleet_.warmTableGroups))
+    warmTableGroups_.pop_back();
   if (warm)
-    one.left *= 1 - fleet_.warmSaves;
+    one.remainingWork *= 1 - fleet_.warmSavings;
   running_.push_back(one);
-  if (fleet_.fallMultiple > 0 && startedAt && now < *startedAt + fleet_.coldTime) {  // is it pushed over?
+  if (fleet_.coldOverloadFactor > 0 && startedAt &&
+      now < *startedAt + fleet_.coldDuration) {  // is it pushed over?
     coldWork_.emplace_back(now, one.work);
     double sum = 0;
     for (auto& [at, work] : coldWork_)
-      if (at > now - fleet_.fallTime)
+      if (at > now - fleet_.coldOverloadWindow)
         sum += work;
-    if (sum > fleet_.fallMultiple * cores(now) * fleet_.fallTime)
+    if (sum > fleet_.coldOverloadFactor * availableCores(now) * fleet_.coldOverloadWindow)
       overloadedWhileCold = true;
   }
-  share(now);
+  assignRates(now);
   return true;
 }
 
-void SimulatedEngine::drop(double now, uint64_t send) {
-  pass(now);
+void SimulatedEngine::cancelSend(double now, uint64_t send) {
+  advanceTo(now);
   std::erase_if(running_, [&](auto& one) { return one.send == send; });
-  share(now);
+  assignRates(now);
 }
 
 void SimulatedEngine::setPriority(double now, uint64_t send, int priority) {
-  pass(now);
+  advanceTo(now);
   for (auto& one : running_)
     if (one.send == send)
       one.priority = priority;
-  share(now);
+  assignRates(now);
 }
 
-std::vector<RunningSend> SimulatedEngine::finished(double now) {
-  pass(now);
+std::vector<RunningSend> SimulatedEngine::takeFinished(double now) {
+  advanceTo(now);
   std::vector<RunningSend> over;
-  std::erase_if(running_, [&](auto& one) { return one.left <= 1e-9 && (over.push_back(one), true); });
-  share(now);
+  std::erase_if(running_,
+                [&](auto& one) { return one.remainingWork <= 1e-9 && (over.push_back(one), true); });
+  assignRates(now);
   return over;
 }
 
-std::optional<double> SimulatedEngine::nextEnd() const {
+std::optional<double> SimulatedEngine::nextCompletion() const {
   std::optional<double> at;
   for (auto& one : running_)
-    if (one.rate > 0)
-      at = std::min(at.value_or(HUGE_VAL), last_ + std::max(0.0, one.left) / one.rate);
+    if (one.workRate > 0)
+      at = std::min(at.value_or(HUGE_VAL), lastUpdate_ + std::max(0.0, one.remainingWork) / one.workRate);
   // While it warms up its cores change: rates are looked at again before long.
-  if (at && startedAt && last_ < *startedAt + fleet_.coldTime)
-    at = std::min(*at, last_ + 0.25);
+  if (at && startedAt && lastUpdate_ < *startedAt + fleet_.coldDuration)
+    at = std::min(*at, lastUpdate_ + 0.25);
   return at;
 }
 
-void SimulatedEngine::slow(double now, double times) { pass(now), times_ = times, share(now); }
+void SimulatedEngine::setSlowdown(double now, double factor) {
+  advanceTo(now), slowdown_ = factor, assignRates(now);
+}
 
 void SimulatedEngine::start(double now, bool cold) {
-  last_ = now, up = true, overloadedWhileCold = false, warm_.clear(), coldWork_.clear();
+  lastUpdate_ = now, up = true, overloadedWhileCold = false, warmTableGroups_.clear(), coldWork_.clear();
   startedAt = cold ? std::optional(now) : std::nullopt;
 }
 
 std::vector<RunningSend> SimulatedEngine::stop(double now) {
-  pass(now);
+  advanceTo(now);
   up = false;
   return std::exchange(running_, {});
 }
--- a/src/lab/simulated_engine.h
+++ b/src/lab/simulated_engine.h
@@ -1,5 +1,5 @@
-// The laboratory's model of an engine: sends share its cores by priority, spill where memory runs short, find groups of
-// tables warm, and the machine fails in the ways that machines fail. Pure: it is told the time.
+// Model of an engine: a processor-sharing server with priorities, in which commands spill when memory runs short, cached
+// table groups save work, and a restarted engine warms up. Holds no clock: every call is given the time, in seconds.
 #pragma once
 #include <cstdint>
 #include <list>
@@ -12,45 +12,54 @@
 
 struct RunningSend {
   uint64_t send = 0;
-  double left = 0, work = 0;  // seconds on one core
+  double remainingWork = 0;  // seconds on one core
+  double work = 0;           // seconds on one core
   double memoryMb = 0;
-  int threads = 1, priority = 1;
-  double rate = 0;  // of its work, a second
+  int threads = 1;
+  int priority = 1;     // 0 to 3
+  double workRate = 0;  // work done a second
 };
 
 class SimulatedEngine {
  public:
   explicit SimulatedEngine(const Fleet& fleet) : fleet_(fleet) {}
 
-  // Whether it takes the send: false if its process is down.
-  bool begin(double now, const RunningSend& send, uint64_t tables);
-  void drop(double now, uint64_t send);
+  // False if the process is down.
+  bool startSend(double now, const RunningSend& send, uint64_t tableGroup);
+  void cancelSend(double now, uint64_t send);
   void setPriority(double now, uint64_t send, int priority);
-  // Sends that are done by now.
-  std::vector<RunningSend> finished(double now);
-  std::optional<double> nextEnd() const;  // of a send, if nothing changes
+  // Removes and returns the sends that are complete.
+  std::vector<RunningSend> takeFinished(double now);
+  // When to call takeFinished next, if nothing changes before.
+  std::optional<double> nextCompletion() const;
 
-  void slow(double now, double times);
+  // Multiplies run times by `factor`; 1 is normal speed.
+  void setSlowdown(double now, double factor);
   void start(double now, bool cold);
-  std::vector<RunningSend> stop(double now);  // its process ends: what ran there
+  // Ends the process and returns the sends that were running.
+  std::vector<RunningSend> stop(double now);
 
-  bool up = true, silent = false, failing = false;
-  bool overloadedWhileCold = false;  // pushed over while cold
+  bool up = true;
+  bool silent = false;   // runs commands but sends no responses
+  bool failing = false;  // answers every command with an error at once
+  bool overloadedWhileCold = false;
   std::optional<double> startedAt;
-  double busy = 0;  // core seconds done
-  size_t running() const { return running_.size(); }
-  double threads() const;
-  double cores(double now) const;
+  double coreSecondsDone = 0;
+  size_t runningCount() const { return running_.size(); }
+  double threads() const;                   // of all running sends
+  double availableCores(double now) const;  // fewer while it warms up
 
  private:
-  void pass(double now);  // work done up to now
-  void share(double now);
+  void advanceTo(double now);    // accounts for the work done since the last update
+  void assignRates(double now);  // divides the cores among the running sends
 
   const Fleet& fleet_;
   std::vector<RunningSend> running_;
-  std::list<uint64_t> warm_;
-  double last_ = 0, times_ = 1;
-  std::vector<std::pair<double, double>> coldWork_;  // when it came, and how much
+  std::list<uint64_t> warmTableGroups_;  // most recently used first
+  double lastUpdate_ = 0;
+  double slowdown_ = 1;
+  std::vector<std::pair<double, double>>
+      coldWork_;  // time of arrival and work of commands that came while it was cold
 };
 
 }  // namespace elmcleat::lab
--- a/src/lab/simulation.cpp
+++ b/src/lab/simulation.cpp
@@ -20,30 +20,31 @@
 class World {
  public:
   World(const Scenario& given, uint64_t seed, const Variant& variant)
-      : scene_(given), variant_(variant), arrivals_(seed * 7919 + 1), seed_(seed) {}
+      : scenario_(given), variant_(variant), arrivals_(seed * 7919 + 1), seed_(seed) {}
 
   RunRecord run() {
     auto began = std::chrono::steady_clock::now();
-    size_t seconds = size_t(std::ceil(scene_.duration)) + 1;
+    size_t seconds = size_t(std::ceil(scenario_.duration)) + 1;
     record_.seconds.resize(seconds);
     for (auto& second : record_.seconds)
-      second.asked.resize(scene_.teams.size()), second.earned = second.work = second.asked;
-    for (int i = 0; i < scene_.fleet.engines; ++i)
-      engines_.push_back(std::make_unique<Machine>(scene_.fleet));
-    for (int i = 0; i < scene_.fleet.gateways; ++i) {
+      second.offeredBenefit.resize(scenario_.teams.size()),
+          second.earnedBenefit = second.completedWork = second.offeredBenefit;
+    for (int i = 0; i < scenario_.fleet.engines; ++i)
+      engines_.push_back(std::make_unique<Machine>(scenario_.fleet));
+    for (int i = 0; i < scenario_.fleet.gateways; ++i) {
       gates_.push_back(std::make_unique<Gate>(*this, uint32_t(i)));
       gates_.back()->open();
     }
-    for (size_t i = 0; i < scene_.teams.size(); ++i)
+    for (size_t i = 0; i < scenario_.teams.size(); ++i)
       nextArrival(i);
-    for (auto& disturbance : scene_.disturbances)
+    for (auto& disturbance : scenario_.disturbances)
       plan(disturbance);
     events_.schedule(0.5, [this] { sample(); });
-    while (now_ < scene_.duration && events_.runNext(now_)) {
+    while (now_ < scenario_.duration && events_.runNext(now_)) {
     }
     for (auto& engine : engines_)
-      record_.fell += engine->model.overloadedWhileCold;
-    record_.realSeconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+      record_.coldOverloads += engine->model.overloadedWhileCold;
+    record_.wallSeconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
     return std::move(record_);
   }
 
@@ -67,29 +68,29 @@
     void open() {
       const Variant& variant = world.variant_;
       uint64_t seed = world.seed_ * 1000 + number;
-      Settings settings = world.scene_.settings;
-      if (world.scene_.view)
+      Settings settings = world.scenario_.settings;
+      if (world.scenario_.subset)
         settings.ordinal = int(number);  // with the view and without it
-      if (world.scene_.view && variant.view && variant.deciding == Decider::module)
-        view = std::make_unique<view::EngineSubset>(*world.scene_.view, settings),
+      if (world.scenario_.subset && variant.subset && variant.decider == Decider::module)
+        view = std::make_unique<view::EngineSubset>(*world.scenario_.subset, settings),
         settings = view->localSettings();
-      if (variant.deciding == Decider::module) {
-        if (world.scene_.budgets && variant.budgets) {
-          scheduler =
-              std::make_unique<budget::TreeScheduler>(*world.scene_.budgets, world.scene_.fleet.gateways);
-          if (world.scene_.shared && variant.sharing)
+      if (variant.decider == Decider::module) {
+        if (world.scenario_.budgets && variant.budgets) {
+          scheduler = std::make_unique<budget::TreeScheduler>(*world.scenario_.budgets,
+                                                              world.scenario_.fleet.gateways);
+          if (world.scenario_.leases && variant.leases)
             lend();
           scheduler->onWaitMeasured([this](Command& command, budget::WaitEstimate told, double seen) {
             auto known = numbers.find(&command);
             if (known == numbers.end())
               return;
-            world.record_.waits.push_back(
-                {world.record_.commands[known->second].at, told.median, told.p90, seen, known->second});
+            world.record_.waits.push_back({world.record_.commands[known->second].arrivedAt, told.median,
+                                           told.p90, seen, known->second});
           });
         }
         policy = createPolicy(settings, seed, *this, scheduler.get());
       } else {
-        policy = std::make_unique<Baseline>(settings, seed, *this, variant.deciding == Decider::random);
+        policy = std::make_unique<Baseline>(settings, seed, *this, variant.decider == Decider::random);
       }
       EngineListEvent first{0, true, {}};
       for (uint32_t i = 0; i < world.engines_.size(); ++i)
@@ -133,7 +134,7 @@
 
     // Loans between gateways: a look ten times a second, letters with the fleet's delay.
     void lend() {
-      leases = std::make_unique<shared::LeaseManager>(*world.scene_.shared, int(number), world.seed_ + 1,
+      leases = std::make_unique<shared::LeaseManager>(*world.scenario_.leases, int(number), world.seed_ + 1,
                                                       world.seed_ * 77 + number, world.now_);
       look();
     }
@@ -150,7 +151,7 @@
     void post() {
       scheduler->setQuotas(usable());  // before a letter that rests on it is on its way
       for (auto& message : leases->takeOutgoing())
-        world.events_.schedule(world.now_ + world.scene_.fleet.delay, [this, message] {
+        world.events_.schedule(world.now_ + world.scenario_.fleet.networkDelay, [this, message] {
           Gate& to = *world.gates_[size_t(message.to)];
           to.leases->receive(world.now_, message);
           to.scheduler->advanceTo(world.now_);
@@ -159,7 +160,7 @@
     }
     std::vector<shared::AvailableQuota> usable() {
       std::vector<shared::AvailableQuota> all;
-      for (size_t i = 0; i < world.scene_.shared->quotas.size(); ++i)
+      for (size_t i = 0; i < world.scenario_.leases->quotas.size(); ++i)
         all.push_back(leases->availableQuota(i, world.now_));
       return all;
     }
@@ -171,7 +172,7 @@
     }
 
     void take(uint64_t id, const Arrival& arrival) {
-      world.mark(RunEventKind::taken, *this, id);
+      world.mark(RunEventKind::submitted, *this, id);
       policy->advanceTo(world.now_);
       auto command = policy->submit(arrival);
       commands[id] = command, numbers[command.get()] = id;
@@ -195,7 +196,7 @@
       if (sent == out.end())
         return;
       uint32_t node = sent->second.node;
-      world.events_.schedule(world.now_ + world.scene_.fleet.delay,
+      world.events_.schedule(world.now_ + world.scenario_.fleet.networkDelay,
                              [this, node, number_] { world.drop(node, number_); });
       over(number_, Outcome::timedOut);
     }
@@ -206,7 +207,7 @@
         return;
       Sent sent = std::move(found.mapped());
       byCommand.erase(sent.command.get());
-      world.mark(RunEventKind::over, *this, sent.number, sent.node);
+      world.mark(RunEventKind::sendFinished, *this, sent.number, sent.node);
       bool answered = what == Outcome::answered && !ended.contains(sent.number);
       if (answered)
         final(sent.number, RunEventKind::answered);
@@ -226,9 +227,9 @@
         return;
       uint64_t number_ = sent->second;
       uint32_t node = out.at(number_).node;
-      world.events_.schedule(world.now_ + world.scene_.fleet.delay,
+      world.events_.schedule(world.now_ + world.scenario_.fleet.networkDelay,
                              [this, node, number_] { world.drop(node, number_); });
-      world.events_.schedule(world.now_ + 2 * world.scene_.fleet.delay,
+      world.events_.schedule(world.now_ + 2 * world.scenario_.fleet.networkDelay,
                              [this, number_] { over(number_, Outcome::cancelled); });
     }
     void shed(Command& command, double) override {
@@ -286,9 +287,10 @@
   SecondRecord& second() { return record_.seconds[std::min(size_t(now_), record_.seconds.size() - 1)]; }
   void earn(uint64_t id) {
     const CommandRecord& asked = record_.commands[id];
-    const Profile& profile = scene_.settings.profiles[asked.profile];
-    double worth = now_ <= record_.commands[asked.first].targetAt ? 1 : profile.lateBenefitShare;
-    second().earned[asked.team] += worth * profile.benefit, second().work[asked.team] += asked.work;
+    const Profile& profile = scenario_.settings.profiles[asked.profile];
+    double worth = now_ <= record_.commands[asked.firstTry].targetAt ? 1 : profile.lateBenefitShare;
+    second().earnedBenefit[asked.team] += worth * profile.benefit,
+        second().completedWork[asked.team] += asked.work;
   }
   void sample() {
     double held = 0, busy = 0, cores = 0;
@@ -299,27 +301,28 @@
         held += double(gate->commands.size() - std::min(gate->commands.size(), gate->out.size()));
     for (auto& engine : engines_) {
       SimulatedEngine& model = engine->model;
-      double uses = std::min(model.threads(), scene_.fleet.hardware.cores);
-      busy += uses, cores += scene_.fleet.hardware.cores;
-      if (now_ >= scene_.measuredFrom && model.up)
-        record_.load.push_back(model.threads() / scene_.fleet.hardware.cores);
-      if (!model.up || !model.startedAt || now_ > *model.startedAt + scene_.fleet.coldTime)
+      double uses = std::min(model.threads(), scenario_.fleet.hardware.cores);
+      busy += uses, cores += scenario_.fleet.hardware.cores;
+      if (now_ >= scenario_.measuredFrom && model.up)
+        record_.threadsPerCore.push_back(model.threads() / scenario_.fleet.hardware.cores);
+      if (!model.up || !model.startedAt || now_ > *model.startedAt + scenario_.fleet.coldDuration)
         continue;
-      record_.coldAble += model.cores(now_), record_.coldBusy += std::min(uses, model.cores(now_));
+      record_.coldCoresAvailable += model.availableCores(now_),
+          record_.coldCoresUsed += std::min(uses, model.availableCores(now_));
     }
-    second().held = held, second().busy = busy / cores;
+    second().waitingCommands = held, second().busyCoreShare = busy / cores;
     events_.schedule(now_ + 1, [this] { sample(); });
   }
 
   // --- clients
   double rateOf(size_t team) const {
-    double rate = scene_.teams[team].rate;
-    for (auto& disturbance : scene_.disturbances) {
-      if (disturbance.team != scene_.teams[team].name || now_ < disturbance.at ||
-          now_ >= disturbance.at + disturbance.lasts)
+    double rate = scenario_.teams[team].rate;
+    for (auto& disturbance : scenario_.disturbances) {
+      if (disturbance.team != scenario_.teams[team].name || now_ < disturbance.start ||
+          now_ >= disturbance.start + disturbance.duration)
         continue;
       if (disturbance.kind == "burst" && variant_.bursts)
-        rate *= disturbance.times;
+        rate *= disturbance.factor;
       if (disturbance.kind == "quiet")
         rate = 0;
     }
@@ -327,10 +330,10 @@
   }
   // Arrivals are drawn at the highest rate and thinned: the draws are the same in all variants.
   void nextArrival(size_t team) {
-    double most = scene_.teams[team].rate;
-    for (auto& disturbance : scene_.disturbances)
-      if (disturbance.kind == "burst" && disturbance.team == scene_.teams[team].name)
-        most *= std::max(1.0, disturbance.times);
+    double most = scenario_.teams[team].rate;
+    for (auto& disturbance : scenario_.disturbances)
+      if (disturbance.kind == "burst" && disturbance.team == scenario_.teams[team].name)
+        most *= std::max(1.0, disturbance.factor);
     if (most <= 0)
       return;
     auto& chance = chances_[team];
@@ -348,41 +351,41 @@
   }
   void arrive(size_t team, double pick, double size, double angle, double user, uint32_t gate,
               uint32_t tables) {
-    const Team& who = scene_.teams[team];
+    const Team& who = scenario_.teams[team];
     double all = 0;
     for (auto& mix : who.mix)
-      all += mix.part;
+      all += mix.weight;
     size_t profile = 0;
     for (auto& mix : who.mix) {
-      for (size_t i = 0; i < scene_.settings.profiles.size(); ++i)
-        if (scene_.settings.profiles[i].name == mix.profile)
+      for (size_t i = 0; i < scenario_.settings.profiles.size(); ++i)
+        if (scenario_.settings.profiles[i].name == mix.profile)
           profile = i;
-      if ((pick -= mix.part / all) < 0)
+      if ((pick -= mix.weight / all) < 0)
         break;
     }
-    const WorkDistribution& work = scene_.work[profile];
+    const WorkDistribution& work = scenario_.workByProfile[profile];
     double normal = std::sqrt(-2 * std::log(1 - size)) * std::cos(2 * std::numbers::pi * angle);
     double cost = work.mean * std::exp(work.spread * normal - work.spread * work.spread / 2);
     Arrival arrival;
-    arrival.profile = scene_.settings.profiles[profile].name, arrival.tenant = who.name;
-    arrival.tableGroup = tables % 64, arrival.estimatedWork = cost / who.estimateOver,
+    arrival.profile = scenario_.settings.profiles[profile].name, arrival.tenant = who.name;
+    arrival.tableGroup = tables % 64, arrival.estimatedWork = cost / who.workPerEstimate,
     arrival.estimatedMemoryMb = work.memoryMb;
     if (who.users > 0)
       arrival.users = {"u" + std::to_string(int(user * who.users))};
-    auto gates = uint32_t(std::ceil(who.gates * double(gates_.size()) - 1e-9));
+    auto gates = uint32_t(std::ceil(who.gatewayShare * double(gates_.size()) - 1e-9));
     ask(arrival, team, profile, cost, gate % gates, record_.commands.size(), 0);
   }
   void ask(Arrival arrival, size_t team, size_t profile, double cost, uint32_t gate, uint64_t first,
            int tries) {
-    const Profile& row = scene_.settings.profiles[profile];
+    const Profile& row = scenario_.settings.profiles[profile];
     uint64_t id = record_.commands.size();
     arrival.remainingTime = row.clientTimeout;
     double target = row.latencyTarget + row.latencyTargetStretch * cost / row.threads;
     record_.commands.push_back({first, uint32_t(team), uint32_t(profile), now_, cost, now_ + target,
                                 now_ + row.clientTimeout, gate, uint32_t(arrival.tableGroup)});
     if (first == id)
-      second().asked[team] += row.benefit;
-    if (tries < scene_.retries)
+      second().offeredBenefit[team] += row.benefit;
+    if (tries < scenario_.retries)
       retries_[id] = {arrival, gate, tries};
     gates_[gate]->take(id, arrival);
   }
@@ -392,65 +395,67 @@
       return;
     events_.schedule(now_ + 1, [this, id, again = found.mapped()] {
       const CommandRecord asked = record_.commands[id];
-      ask(again.arrival, asked.team, asked.profile, asked.work, again.gate, asked.first, again.tries + 1);
+      ask(again.arrival, asked.team, asked.profile, asked.work, again.gate, asked.firstTry, again.tries + 1);
     });
   }
 
   // --- engines
   const std::string& zoneOf(uint32_t node) const {
-    return scene_.fleet.zones[node % scene_.fleet.zones.size()];
+    return scenario_.fleet.zones[node % scenario_.fleet.zones.size()];
   }
   ListedEngine listingOf(uint32_t node, EngineState state) const {
     ListedEngine listing;
-    listing.record = {node, zoneOf(node), scene_.fleet.hardware.name, 0, state, {}};
+    listing.record = {node, zoneOf(node), scenario_.fleet.hardware.name, 0, state, {}};
     if (auto start = engines_[node]->model.startedAt)
       listing.startedAtUnixMs = std::llround(*start * 1000);
     return listing;
   }
   void go(Gate& gate, uint64_t number, int priority) {
-    events_.schedule(now_ + scene_.fleet.delay, [this, &gate, number, priority] {
+    events_.schedule(now_ + scenario_.fleet.networkDelay, [this, &gate, number, priority] {
       auto sent = gate.out.find(number);
       if (sent == gate.out.end())
         return;
       uint32_t node = sent->second.node;
       const CommandRecord& asked = record_.commands[sent->second.number];
-      const Profile& profile = scene_.settings.profiles[asked.profile];
+      const Profile& profile = scenario_.settings.profiles[asked.profile];
       Machine& machine = *engines_[node];
       auto answer = [&](Outcome what) {
-        events_.schedule(now_ + scene_.fleet.delay, [&gate, number, what] { gate.over(number, what); });
+        events_.schedule(now_ + scenario_.fleet.networkDelay,
+                         [&gate, number, what] { gate.over(number, what); });
       };
       if (!machine.model.up)
         return answer(Outcome::connectFailed);
       if (machine.model.failing)
-        return mark(RunEventKind::ran, gate, sent->second.number, node), answer(Outcome::error);
-      RunningSend one{number,          asked.work, asked.work, scene_.work[asked.profile].memoryMb,
-                      profile.threads, priority,   0};
-      machine.model.begin(now_, one, asked.first % 64);
+        return mark(RunEventKind::started, gate, sent->second.number, node), answer(Outcome::error);
+      RunningSend one{
+          number,          asked.work, asked.work, scenario_.workByProfile[asked.profile].memoryMb,
+          profile.threads, priority,   0};
+      machine.model.startSend(now_, one, asked.firstTry % 64);
       places_[number] = &gate;
-      mark(RunEventKind::ran, gate, sent->second.number, node);
+      mark(RunEventKind::started, gate, sent->second.number, node);
       wakeMachine(node);
     });
   }
   void wakeMachine(uint32_t node) {
     Machine& machine = *engines_[node];
     uint64_t version = ++machine.version;
-    auto at = machine.model.nextEnd();
+    auto at = machine.model.nextCompletion();
     if (!at)
       return;
     events_.schedule(std::max(now_, *at), [this, node, version] {
       if (engines_[node]->version != version)
         return;
-      for (auto& one : engines_[node]->model.finished(now_)) {
+      for (auto& one : engines_[node]->model.takeFinished(now_)) {
         auto place = places_.extract(one.send);
         if (place.empty() || engines_[node]->model.silent)
           continue;
         Gate* gate = place.mapped();
         const SimulatedEngine& model = engines_[node]->model;
-        double used = std::min(1.0, model.threads() / scene_.fleet.hardware.cores);
-        LoadReport report{double(model.running()), {}, used, {}, {}};
-        events_.schedule(now_ + scene_.fleet.delay, [this, gate, one, report] {
+        double used = std::min(1.0, model.threads() / scenario_.fleet.hardware.cores);
+        LoadReport report{double(model.runningCount()), {}, used, {}, {}};
+        events_.schedule(now_ + scenario_.fleet.networkDelay, [this, gate, one, report] {
           ResourceUsage usage{one.work, one.memoryMb};
-          gate->over(one.send, Outcome::answered, &usage, scene_.fleet.reports ? &report : nullptr);
+          gate->over(one.send, Outcome::answered, &usage, scenario_.fleet.loadReports ? &report : nullptr);
         });
       }
       wakeMachine(node);
@@ -458,10 +463,10 @@
   }
   void drop(uint32_t node, uint64_t send) {
     places_.erase(send);
-    engines_[node]->model.drop(now_, send), wakeMachine(node);
+    engines_[node]->model.cancelSend(now_, send), wakeMachine(node);
   }
   void rank(uint32_t node, uint64_t send, int priority) {
-    events_.schedule(now_ + scene_.fleet.delay, [this, node, send, priority] {
+    events_.schedule(now_ + scenario_.fleet.networkDelay, [this, node, send, priority] {
       engines_[node]->model.setPriority(now_, send, priority), wakeMachine(node);
     });
   }
@@ -472,7 +477,8 @@
         event.engines.push_back(listingOf(node, state));
       for (auto& gate : gates_) {
         for (uint32_t node : nodes)
-          mark(state == EngineState::inService ? RunEventKind::told : RunEventKind::drained, *gate, 0, node);
+          mark(state == EngineState::inService ? RunEventKind::listed : RunEventKind::drained, *gate, 0,
+               node);
         gate->hear(event);
       }
     });
@@ -480,32 +486,32 @@
 
   // --- troubles
   void plan(const Disturbance& disturbance) {
-    events_.schedule(disturbance.at, [this, &disturbance] { begin(disturbance); });
-    if (disturbance.at + disturbance.lasts < scene_.duration)
-      events_.schedule(disturbance.at + disturbance.lasts, [this, &disturbance] { end(disturbance); });
+    events_.schedule(disturbance.start, [this, &disturbance] { begin(disturbance); });
+    if (disturbance.start + disturbance.duration < scenario_.duration)
+      events_.schedule(disturbance.start + disturbance.duration, [this, &disturbance] { end(disturbance); });
   }
   std::vector<uint32_t> nodesOf(const Disturbance& disturbance) const {
     std::vector<uint32_t> nodes;
     for (uint32_t node = 0; node < engines_.size(); ++node)
       if (disturbance.zone.empty() || disturbance.zone == zoneOf(node))
         nodes.push_back(node);
-    nodes.resize(size_t(std::ceil(disturbance.part * double(nodes.size()) - 1e-9)));
+    nodes.resize(size_t(std::ceil(disturbance.engineShare * double(nodes.size()) - 1e-9)));
     return nodes;
   }
   void stop(const std::vector<uint32_t>& nodes) {  // their processes end
     for (uint32_t node : nodes) {
       for (auto& one : engines_[node]->model.stop(now_))
         if (auto place = places_.extract(one.send); !place.empty())
-          events_.schedule(now_ + scene_.fleet.delay,
+          events_.schedule(now_ + scenario_.fleet.networkDelay,
                            [gate = place.mapped(), send = one.send] { gate->over(send, Outcome::reset); });
       wakeMachine(node);
     }
-    list(nodes, EngineState::removed, scene_.fleet.listLag);
+    list(nodes, EngineState::removed, scenario_.fleet.listLag);
   }
   void start(const std::vector<uint32_t>& nodes) {  // cold
     for (uint32_t node : nodes)
       engines_[node]->model.start(now_, true), wakeMachine(node);
-    list(nodes, EngineState::inService, scene_.fleet.listLag);
+    list(nodes, EngineState::inService, scenario_.fleet.listLag);
   }
   // A part of them after the other is drained, ends and comes back cold.
   void roll(const Disturbance& disturbance) {
@@ -514,10 +520,10 @@
     for (int step = 0; step < disturbance.steps; ++step) {
       auto at = [&](int i) { return nodes.begin() + long(nodes.size()) * i / disturbance.steps; };
       std::vector<uint32_t> its(at(step), at(step + 1));
-      double from = now_ + disturbance.lasts * step / disturbance.steps;
+      double from = now_ + disturbance.duration * step / disturbance.steps;
       events_.schedule(from, [this, its] { list(its, EngineState::draining, 0); });
       events_.schedule(from + kGrace, [this, its] { stop(its); });
-      events_.schedule(from + kGrace + scene_.fleet.listLag + kDown, [this, its] { start(its); });
+      events_.schedule(from + kGrace + scenario_.fleet.listLag + kDown, [this, its] { start(its); });
     }
   }
   void begin(const Disturbance& disturbance) {
@@ -531,7 +537,7 @@
     for (uint32_t node : nodes) {
       SimulatedEngine& engine = engines_[node]->model;
       if (disturbance.kind == "slow")
-        engine.slow(now_, disturbance.times);
+        engine.setSlowdown(now_, disturbance.factor);
       if (disturbance.kind == "silent")
         engine.silent = true;
       if (disturbance.kind == "failing")
@@ -552,7 +558,7 @@
     for (uint32_t node : nodes) {
       SimulatedEngine& engine = engines_[node]->model;
       if (disturbance.kind == "slow")
-        engine.slow(now_, 1);
+        engine.setSlowdown(now_, 1);
       if (disturbance.kind == "silent")
         engine.silent = false;
       if (disturbance.kind == "failing")
@@ -566,7 +572,7 @@
     uint32_t gate;
     int tries;
   };
-  const Scenario& scene_;
+  const Scenario& scenario_;
   Variant variant_;
   Pcg32 arrivals_;
   uint64_t seed_, sends_ = 0;
@@ -598,8 +604,8 @@
   return {name, Decider::module, true, true};
 }
 
-RunRecord simulate(const Scenario& scene, uint64_t seed, const Variant& variant) {
-  return World(scene, seed, variant).run();
+RunRecord simulate(const Scenario& scenario, uint64_t seed, const Variant& variant) {
+  return World(scenario, seed, variant).run();
 }
 
 }  // namespace elmcleat::lab
--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -94,8 +94,8 @@
 
 class Day {
  public:
-  Day(const Scenario& scene, const RunRecord& virtualRun, const Variant& variant, std::string program)
-      : scene_(scene),
+  Day(const Scenario& scenario, const RunRecord& virtualRun, const Variant& variant, std::string program)
+      : scenario_(scenario),
         source_(virtualRun),
         variant_(variant),
         program_(std::move(program)),
@@ -107,29 +107,30 @@
   }
 
   RunRecord run() {
-    for (auto& disturbance : scene_.disturbances)
+    for (auto& disturbance : scenario_.disturbances)
       if (disturbance.kind != "burst" && disturbance.kind != "quiet" && disturbance.kind != "slow")
         throw ValidationErrors(
-            {scene_.name + ": on sockets there is no trouble '" + disturbance.kind + "' yet"});
+            {scenario_.name + ": on sockets there is no trouble '" + disturbance.kind + "' yet"});
     char name[] = "/tmp/elmcleat-lab-XXXXXX";
     folder_ = mkdtemp(name);
-    record_.seconds.resize(size_t(scene_.duration) + 2);
+    record_.seconds.resize(size_t(scenario_.duration) + 2);
     for (auto& second : record_.seconds)
-      second.asked.resize(scene_.teams.size()), second.earned = second.work = second.asked;
+      second.offeredBenefit.resize(scenario_.teams.size()),
+          second.earnedBenefit = second.completedWork = second.offeredBenefit;
     changeLog_ = std::make_unique<Listening>(scheduler_, addressOf(2, 1), [this](int fd) { follow(fd); });
-    for (uint32_t i = 0; i < uint32_t(scene_.fleet.engines); ++i) {
-      auto& machine = *machines_.emplace_back(std::make_unique<Machine>(scene_.fleet));
+    for (uint32_t i = 0; i < uint32_t(scenario_.fleet.engines); ++i) {
+      auto& machine = *machines_.emplace_back(std::make_unique<Machine>(scenario_.fleet));
       machine.listening =
           std::make_unique<Listening>(scheduler_, addressOf(1, i), [this, i](int fd) { serve(i, fd); });
       machine.timer = std::make_unique<Timer>(scheduler_, [this, i] { finish(i); });
     }
-    for (uint32_t i = 0; i < uint32_t(scene_.fleet.gateways); ++i)
+    for (uint32_t i = 0; i < uint32_t(scenario_.fleet.gateways); ++i)
       start(i);
     waitUntilUp();
     began_ = scheduler_.now() + 0.2;
     for (auto& asked : source_.commands)
-      if (asked.first == size_t(&asked - source_.commands.data()))
-        order_.push_back(asked.first);
+      if (asked.firstTry == size_t(&asked - source_.commands.data()))
+        order_.push_back(asked.firstTry);
     record_.commands.resize(source_.commands.size(),
                             CommandRecord{~uint64_t{0}, 0, 0, 0, 0, 0, HUGE_VAL, 0, 0});  // not asked yet
     next_ = std::make_unique<Timer>(scheduler_, [this] { ask(); });
@@ -139,14 +140,14 @@
       timers.push_back(std::make_unique<Timer>(scheduler_, std::move(act)));
       timers.back()->set(began_ + at);
     };
-    for (auto& disturbance : scene_.disturbances)
+    for (auto& disturbance : scenario_.disturbances)
       if (disturbance.kind == "slow") {
-        later(disturbance.at, [&] { slow(disturbance, disturbance.times); });
-        later(disturbance.at + disturbance.lasts, [&] { slow(disturbance, 1); });
+        later(disturbance.start, [&] { slow(disturbance, disturbance.factor); });
+        later(disturbance.start + disturbance.duration, [&] { slow(disturbance, 1); });
       }
-    later(scene_.duration, [this] { scheduler_.stop(); });
+    later(scenario_.duration, [this] { scheduler_.stop(); });
     scheduler_.run();
-    record_.realSeconds = scene_.duration;
+    record_.wallSeconds = scenario_.duration;
     return std::move(record_);
   }
 
@@ -181,13 +182,13 @@
       std::snprintf(id, sizeof id, "s-%08x", i + 1);
       hosts.push_back({{"host", id},
                        {"dial", formatAddress(addressOf(1, i))},
-                       {"site", scene_.fleet.zones.front()},
+                       {"site", scenario_.fleet.zones.front()},
                        {"class", "std"},
                        {"block", 0},
                        {"health", "in_service"},
                        {"born_ms", 0}});
     }
-    for (auto& profile : scene_.settings.profiles) {
+    for (auto& profile : scenario_.settings.profiles) {
       classes.push_back({{"name", profile.name},
                          {"repeat", "idempotent"},
                          {"aimUs", profile.latencyTarget * 1e6},
@@ -197,7 +198,7 @@
                          {"value", profile.benefit}});
       threads.push_back(profile.threads);
     }
-    for (auto& tenant : scene_.settings.tenants)
+    for (auto& tenant : scenario_.settings.tenants)
       accounts.push_back({{"name", tenant.name}, {"fraction", tenant.share}});
     Json config{
         {"name", "lab" + std::to_string(gate)},
@@ -207,26 +208,26 @@
         {"changelog", formatAddress(addressOf(2, 1))},
         {"known", {{"seq", 1}, {"results", {{{"seq", 1}, {"fleet", {{"whole", true}, {"hosts", hosts}}}}}}}},
         {"settings",
-         {{"balancers", scene_.fleet.gateways},
-          {"localities", scene_.fleet.zones},
+         {{"balancers", scenario_.fleet.gateways},
+          {"localities", scenario_.fleet.zones},
           {"flavors", {"std"}},
-          {"zone", scene_.fleet.zones.front()},
+          {"zone", scenario_.fleet.zones.front()},
           {"classes", classes},
           {"accounts", accounts},
           {"limits",
            {{"streamsPerConn", 32},
             {"connectTimeoutUs", 250000},
             {"connIdleUs", 15000000},
-            {"maxAttempts", scene_.settings.maxSends},
-            {"cancel", scene_.settings.cancelSupported}}},
+            {"maxAttempts", scenario_.settings.maxSends},
+            {"cancel", scenario_.settings.cancelSupported}}},
           {"specifics",
            {{"dop", threads},
-            {"kindCores", {scene_.fleet.hardware.cores}},
-            {"ranksHeeded", scene_.settings.prioritiesSupported}}}}}};
+            {"kindCores", {scenario_.fleet.hardware.cores}},
+            {"ranksHeeded", scenario_.settings.prioritiesSupported}}}}}};
     std::ofstream(base + ".json") << config.dump();
-    bool budgets = !scene_.budgetsText.is_null() && variant_.budgets;
+    bool budgets = !scenario_.budgetsJson.is_null() && variant_.budgets;
     if (budgets)
-      std::ofstream(base + ".gateway.json") << Json{{"budgets", scene_.budgetsText}}.dump();
+      std::ofstream(base + ".gateway.json") << Json{{"budgets", scenario_.budgetsJson}}.dump();
     pid_t pid = fork();
     if (pid == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -332,27 +333,28 @@
     int priority = 1;
     if (auto at = fields.find("weight="); at != std::string::npos)
       priority = fields[at + 7] - '0';
-    uint32_t gate = asked.gate;
-    mark(RunEventKind::sent, gate, command, node), mark(RunEventKind::ran, gate, command, node);
+    uint32_t gate = asked.gateway;
+    mark(RunEventKind::sent, gate, command, node), mark(RunEventKind::started, gate, command, node);
     machines_[node]->open[command] = {&from, gate};
-    machines_[node]->model.begin(scheduler_.now(),
-                                 {command, asked.work, asked.work, scene_.work[asked.profile].memoryMb,
-                                  scene_.settings.profiles[asked.profile].threads, priority, 0},
-                                 asked.first % 64);
+    machines_[node]->model.startSend(
+        scheduler_.now(),
+        {command, asked.work, asked.work, scenario_.workByProfile[asked.profile].memoryMb,
+         scenario_.settings.profiles[asked.profile].threads, priority, 0},
+        asked.firstTry % 64);
     aim(node);
   }
   void aim(uint32_t node) {
-    if (auto at = machines_[node]->model.nextEnd())
+    if (auto at = machines_[node]->model.nextCompletion())
       machines_[node]->timer->set(*at);
     else
       machines_[node]->timer->clear();
   }
   void finish(uint32_t node) {
-    for (auto& one : machines_[node]->model.finished(scheduler_.now())) {
+    for (auto& one : machines_[node]->model.takeFinished(scheduler_.now())) {
       auto who = machines_[node]->open.extract(one.send);
       if (who.empty())
         continue;
-      mark(RunEventKind::over, who.mapped().second, one.send, node);
+      mark(RunEventKind::sendFinished, who.mapped().second, one.send, node);
       char head[96];
       int size = std::snprintf(head, sizeof head, "%016llx HIT fetches=1,effort=%.3f 6\r\n",
                                static_cast<unsigned long long>(one.send), one.work * 1e3);
@@ -364,40 +366,41 @@
     auto who = machines_[node]->open.extract(command);
     if (who.empty())
       return;
-    mark(RunEventKind::over, who.mapped().second, command, node);
-    machines_[node]->model.drop(scheduler_.now(), command);
+    mark(RunEventKind::sendFinished, who.mapped().second, command, node);
+    machines_[node]->model.cancelSend(scheduler_.now(), command);
     aim(node);
   }
   void slow(const Disturbance& disturbance, double times) {
-    for (uint32_t node = 0; node < uint32_t(std::ceil(double(machines_.size()) * disturbance.part)); ++node)
-      machines_[node]->model.slow(scheduler_.now(), times), aim(node);
+    for (uint32_t node = 0; node < uint32_t(std::ceil(double(machines_.size()) * disturbance.engineShare));
+         ++node)
+      machines_[node]->model.setSlowdown(scheduler_.now(), times), aim(node);
   }
 
   // --- clients
   void ask() {
-    for (; at_ < order_.size() && source_.commands[order_[at_]].at <= now(); ++at_)
+    for (; at_ < order_.size() && source_.commands[order_[at_]].arrivedAt <= now(); ++at_)
       ask(order_[at_]);
     if (at_ < order_.size())
-      next_->set(began_ + source_.commands[order_[at_]].at);
+      next_->set(began_ + source_.commands[order_[at_]].arrivedAt);
   }
   void ask(uint64_t command) {
     CommandRecord& asked = record_.commands[command] = source_.commands[command];
-    const Profile& profile = scene_.settings.profiles[asked.profile];
-    double shift = now() - asked.at;
-    asked.at += shift, asked.targetAt += shift, asked.timeoutAt += shift;
-    record_.seconds[size_t(now())].asked[asked.team] += profile.benefit;
-    mark(RunEventKind::taken, asked.gate, command);
-    Client& client = idleClient(asked.gate);
+    const Profile& profile = scenario_.settings.profiles[asked.profile];
+    double shift = now() - asked.arrivedAt;
+    asked.arrivedAt += shift, asked.targetAt += shift, asked.timeoutAt += shift;
+    record_.seconds[size_t(now())].offeredBenefit[asked.team] += profile.benefit;
+    mark(RunEventKind::submitted, asked.gateway, command);
+    Client& client = idleClient(asked.gateway);
     client.command = command;
-    std::string body = "SELECT a FROM t_" + std::to_string(asked.tables) + ".x";
+    std::string body = "SELECT a FROM t_" + std::to_string(asked.tableGroup) + ".x";
     char head[512];
     int size = std::snprintf(
         head, sizeof head,
         "POST /do/%s HTTP/1.1\r\nHost: lab\r\nReq-Id: %016llx\r\nReq-Wait-Ms: %.0f\r\nReq-Owner: %s\r\n"
         "Req-Cost: %.3f\r\nContent-Length: %zu\r\n\r\n",
         profile.name.c_str(), static_cast<unsigned long long>(command), profile.clientTimeout * 1e3,
-        scene_.teams[asked.team].name.c_str(), asked.work / scene_.teams[asked.team].estimateOver * 1e3,
-        body.size());
+        scenario_.teams[asked.team].name.c_str(),
+        asked.work / scenario_.teams[asked.team].workPerEstimate * 1e3, body.size());
     client.peer.say(std::string(head, size_t(size)) + body);
   }
   Client& idleClient(uint32_t gate) {
@@ -428,14 +431,15 @@
                        : *status == "503" || *status == "429" ? RunEventKind::shed
                                                               : RunEventKind::failed;
     mark(how, client.gate, command);
-    const Profile& profile = scene_.settings.profiles[asked.profile];
+    const Profile& profile = scenario_.settings.profiles[asked.profile];
     auto& second = record_.seconds[std::min(size_t(now()), record_.seconds.size() - 1)];
     if (how == RunEventKind::answered)
-      second.earned[asked.team] += (now() <= asked.targetAt ? 1 : profile.lateBenefitShare) * profile.benefit;
+      second.earnedBenefit[asked.team] +=
+          (now() <= asked.targetAt ? 1 : profile.lateBenefitShare) * profile.benefit;
     idle_[client.gate].push_back(&client);
   }
 
-  const Scenario& scene_;
+  const Scenario& scenario_;
   const RunRecord& source_;
   Variant variant_;
   std::string program_, folder_;
@@ -456,9 +460,9 @@
 
 }  // namespace
 
-RunRecord runOnSockets(const Scenario& scene, const RunRecord& virtualRun, const Variant& variant,
+RunRecord runOnSockets(const Scenario& scenario, const RunRecord& virtualRun, const Variant& variant,
                        const std::string& program) {
-  return Day(scene, virtualRun, variant, program).run();
+  return Day(scenario, virtualRun, variant, program).run();
 }
 
 }  // namespace elmcleat::lab
--- a/src/lab/traffic.h
+++ b/src/lab/traffic.h
@@ -1,5 +1,5 @@
-// Bytes by the second, of one member or of all, in virtual time: the sum, and the worst 5 s that begin with a
-// second.
+// Network traffic in virtual time, of one member or of all: total bytes, and the peak rate over any 5 consecutive
+// whole seconds.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -11,24 +11,29 @@
 
 class Traffic {
  public:
-  static constexpr size_t kSeconds = 5;
+  static constexpr size_t kWindowSeconds = 5;
 
-  explicit Traffic(double began = 0) : began_(began) {}
+  explicit Traffic(double startTime = 0) : startTime_(startTime) {}
   void add(double now, size_t bytes) {
-    auto second = uint64_t(std::max(now - began_, 0.0));
-    for (uint64_t i = second_ + 1; i <= std::min(second, second_ + kSeconds); ++i)
-      lately_[i % kSeconds] = 0;
-    second_ = std::max(second, second_);
-    lately_[second_ % kSeconds] += bytes, bytes_ += bytes;
-    worst_ = std::max(worst_, std::accumulate(lately_.begin(), lately_.end(), uint64_t{0}));
+    auto second = uint64_t(std::max(now - startTime_, 0.0));
+    for (uint64_t i = currentSecond_ + 1; i <= std::min(second, currentSecond_ + kWindowSeconds); ++i)
+      recentBytes_[i % kWindowSeconds] = 0;
+    currentSecond_ = std::max(second, currentSecond_);
+    recentBytes_[currentSecond_ % kWindowSeconds] += bytes;
+    totalBytes_ += bytes;
+    peakWindowBytes_ =
+        std::max(peakWindowBytes_, std::accumulate(recentBytes_.begin(), recentBytes_.end(), uint64_t{0}));
   }
-  uint64_t bytes() const { return bytes_; }
-  double worst() const { return double(worst_) / double(kSeconds); }  // bytes a second
+  uint64_t bytes() const { return totalBytes_; }
+  // Peak rate in bytes a second.
+  double worst() const { return double(peakWindowBytes_) / double(kWindowSeconds); }
 
  private:
-  double began_;
-  std::array<uint64_t, kSeconds> lately_{};
-  uint64_t second_ = 0, bytes_ = 0, worst_ = 0;
+  double startTime_;
+  std::array<uint64_t, kWindowSeconds> recentBytes_{};  // by second, modulo the window
+  uint64_t currentSecond_ = 0;
+  uint64_t totalBytes_ = 0;
+  uint64_t peakWindowBytes_ = 0;
 };
 
 }  // namespace elmcleat::lab
--- a/src/tools/lab.cpp
+++ b/src/tools/lab.cpp
@@ -26,46 +26,46 @@
 
 // Whether its rules held and its expectations were met.
 bool runOne(const std::string& path, const Options& options) {
-  Scenario scene = readScenario(path);
+  Scenario scenario = readScenario(path);
   std::vector<std::string> variants{""};
-  variants.insert(variants.end(), scene.comparedVariants.begin(), scene.comparedVariants.end());
+  variants.insert(variants.end(), scenario.comparedVariants.begin(), scenario.comparedVariants.end());
   for (auto& name : options.against)
     if (std::ranges::find(variants, name) == variants.end())
       variants.push_back(name);
   std::vector<Run> runs;
   for (auto& name : variants)
     for (uint64_t seed = options.seed; seed < options.seed + options.seeds; ++seed) {
-      Run run{name, seed, simulate(scene, seed, variantNamed(name)), {}, {}};
-      bool module = variantNamed(name).deciding == Decider::module;
+      Run run{name, seed, simulate(scenario, seed, variantNamed(name)), {}, {}};
+      bool module = variantNamed(name).decider == Decider::module;
       if (!options.program.empty() && module) {  // the same arrivals on sockets, beside virtual time
         Run real{(name.empty() ? "" : name + "-") + std::string("sockets"),
                  seed,
-                 runOnSockets(scene, run.record, variantNamed(name), options.program),
+                 runOnSockets(scenario, run.record, variantNamed(name), options.program),
                  {},
                  {}};
-        real.figures = figuresOf(scene, real.record);
-        real.broken = brokenRules(scene, real.record);
+        real.figures = computeFigures(scenario, real.record);
+        real.violations = findRuleViolations(scenario, real.record);
         runs.push_back(std::move(real));
       }
-      run.figures = figuresOf(scene, run.record);
+      run.figures = computeFigures(scenario, run.record);
       bool baseline = name == "random" || name == "fifo";
       if (!baseline)
-        run.broken = brokenRules(scene, run.record);  // baselines promise nothing
+        run.violations = findRuleViolations(scenario, run.record);  // baselines promise nothing
       if (seed > options.seed)
         run.record = {};
       runs.push_back(std::move(run));
     }
-  auto figures = meanFigures(scene, runs);
-  auto verdicts = checkExpectations(scene, figures);
-  printTable(std::cout, scene, runs, figures, verdicts);
+  auto figures = meanFigures(scenario, runs);
+  auto verdicts = checkExpectations(scenario, figures);
+  printTable(std::cout, scenario, runs, figures, verdicts);
   if (!options.report.empty()) {
-    std::string folder = options.report + "/" + scene.name;
-    writeReport(folder, scene, runs, figures, verdicts);
+    std::string folder = options.report + "/" + scenario.name;
+    writeReport(folder, scenario, runs, figures, verdicts);
     std::cout << "report: " << folder << "/report.html\n";
   }
   bool sound = std::ranges::all_of(verdicts, &Verdict::met);
   for (auto& run : runs)
-    sound &= run.broken.empty();
+    sound &= run.violations.empty();
   return sound;
 }
 
