--- a/tests/fuzz/members_fuzz.cpp
+++ b/tests/fuzz/members_fuzz.cpp
@@ -36,14 +36,14 @@
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
-  static const MembershipSettings settings = lab::MembershipSimulation::settingsFor(8);
-  static const MessageCodec codec(settings);
+  static const MembershipSettings kSettings = lab::MembershipSimulation::settingsFor(8);
+  static const MessageCodec kCodec(kSettings);
   std::string input(reinterpret_cast<const char*>(data), size);
   if (input.size() < 3)
     return 0;
   double now = 0;
   double step = static_cast<unsigned char>(input[0]) / 32.0;
-  Membership membership(settings, 0, {5, 1}, 1, now);
+  Membership membership(kSettings, 0, {5, 1}, 1, now);
   shared::LeaseSettings leaseSettings;
   leaseSettings.memberCount = 8;
   leaseSettings.quotas = {80, 8};
@@ -56,18 +56,18 @@
                     static_cast<unsigned char>(input[position + 1]);
     std::string bytes = withChecksum(input.substr(position + 2, length));
     position += 2 + length;
-    auto decoded = codec.decode(bytes);
+    auto decoded = kCodec.decode(bytes);
     if (auto* message = std::get_if<Message>(&decoded)) {
       require(message->from >= 0 && message->to >= 0, "a message without sender or receiver was decoded");
       for (auto& update : message->updates)
         require(update.member >= 0 && update.member < 8, "an update for an unlisted member");
-      require(std::holds_alternative<Message>(codec.decode(codec.encode(*message))),
+      require(std::holds_alternative<Message>(kCodec.decode(kCodec.encode(*message))),
               "a decoded message does not round-trip");
       membership.receive(now, *message);
     }
     membership.tick(now);
     for (auto& message : membership.takeOutgoing())
-      require(codec.encode(message).size() <= kMaxMessageBytes, "an outgoing message over the size limit");
+      require(kCodec.encode(message).size() <= kMaxMessageBytes, "an outgoing message over the size limit");
     const MemberStatus& own = membership.statusOf(0);
     require(membership.isDemoted() || own.state == MemberState::alive,
             "the process accepted a status of itself other than alive");
