--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -129,18 +129,20 @@
   });
   readSection("shared", [&](const Section& section) {
     if (!config.members || !config.budgets) {
-      errors.push_back(path +
-                       ": shared: needs the sections members and budgets: they say with whom and what");
+      errors.push_back(
+          path +
+          ": shared: needs the sections members and budgets, which name the peers and the amounts to share");
       return;
     }
     config.leases = readLeaseSettings(section, int(config.members->peers.size()), *config.budgets);
     for (auto& error : shared::validate(*config.leases))
       errors.push_back(path + ": shared." + error.key + ": " + error.message);
     if (config.leases->leaseDuration + 2 * config.leases->guardTime > config.members->maxPromiseDuration)
-      errors.push_back(path + ": shared.loanS: with its guards it is longer than members.longestPromiseS");
+      errors.push_back(path + ": shared.loanS: with two guard times it exceeds members.longestPromiseS");
     if (config.leases->quotas.empty())
-      errors.push_back(path +
-                       ": shared: budgets name no guarantee and no ceiling in cores: nothing is shared");
+      errors.push_back(
+          path +
+          ": shared: budgets define no guarantee and no ceiling in cores, so there is nothing to share");
   });
   readSection("view", [&](const Section& section) {
     config.subset = readSubsetSettings(section);
--- a/src/config/schema.cpp
+++ b/src/config/schema.cpp
@@ -65,8 +65,7 @@
     for (auto& [known, definition] : properties.items())
       if (nearest.empty() || editDistance(name, known) < editDistance(name, nearest))
         nearest = known;
-    errors.push_back(path + ": " + memberKey + ": is no key here; the nearest known one is '" + nearest +
-                     "'");
+    errors.push_back(path + ": " + memberKey + ": unknown key; the nearest known key is '" + nearest + "'");
   }
 }
 
@@ -92,7 +91,7 @@
   try {
     return Json::parse(file);
   } catch (const Json::exception& error) {
-    throw ValidationErrors({path + ": is no JSON: " + error.what()});
+    throw ValidationErrors({path + ": is not valid JSON: " + error.what()});
   }
 }
 
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -50,7 +50,7 @@
       return read<T>(key, *found);
     fail(key, "is missing");
   }
-  // A value in microseconds, converted to seconds; so is the default given in seconds.
+  // A duration: the key holds microseconds, the result and the default are in seconds.
   double seconds(const char* key, double defaultSeconds = 0) const {
     return get(key, defaultSeconds * 1e6) / 1e6;
   }
