--- a/tests/parts_test.cpp
+++ b/tests/parts_test.cpp
@@ -1,4 +1,5 @@
-// The scheduler, the configuration and the small pieces between sockets and the module.
+// Tests of the runtime (scheduler, timers, mailbox, streams), of the configuration, and of the serving
+// components between sockets and the policy.
 #include <doctest/doctest.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
@@ -21,23 +22,24 @@
 
 namespace {
 
+// A scheduler that runs for a given time, and a trace of what ran.
 struct Loop {
   Clock clock;
   Scheduler scheduler{clock};
   std::ostringstream trace;
-  void runFor(double span) {
+  void runFor(double duration) {
     Timer stop(scheduler, [this] { scheduler.stop(); });
-    stop.set(scheduler.now() + span);
+    stop.set(scheduler.now() + duration);
     scheduler.run();
   }
 };
 
-Task echo(Mailbox& mailbox, Signal& signal, std::ostringstream& trace, const char* name) {
-  struct Left {
+Task traceActor(Mailbox& mailbox, Signal& signal, std::ostringstream& trace, const char* name) {
+  struct OnDestruction {
     std::ostringstream& trace;
     const char* name;
-    ~Left() { trace << name << " gone;"; }
-  } left{trace, name};
+    ~OnDestruction() { trace << name << " destroyed;"; }
+  } onDestruction{trace, name};
   while (true) {
     co_await signal;
     mailbox.runAll();
@@ -45,10 +47,10 @@
   }
 }
 
-std::string outcomeName(Outcome what) {
-  static constexpr const char* names[] = {"answered",      "error", "full",      "expired",
-                                          "connectFailed", "reset", "cancelled", "unused"};
-  return names[int(what)];
+std::string outcomeName(Outcome outcome) {
+  static constexpr const char* kNames[] = {"answered",      "error", "full",      "expired",
+                                           "connectFailed", "reset", "cancelled", "unused"};
+  return kNames[int(outcome)];
 }
 
 Json configJson() {
@@ -63,13 +65,14 @@
       "specifics":{"progressPaceUs":1000000},"report":{"how":"on_probe"}}})");
 }
 
-std::string configFault(const std::function<void(Json&)>& change) {
+// The message for the configuration after a change; "none" if it is still valid.
+std::string configError(const std::function<void(Json&)>& change) {
   Json json = configJson();
   change(json);
   try {
     readConfig(json);
-  } catch (const std::invalid_argument& fault) {
-    return fault.what();
+  } catch (const std::invalid_argument& error) {
+    return error.what();
   }
   return "none";
 }
@@ -93,7 +96,7 @@
 
 }  // namespace
 
-TEST_CASE("timers fire in the order of their times, moved and cleared ones too") {
+TEST_CASE("timers fire in the order of their times, also after set() again and clear()") {
   Loop loop;
   auto timer = [&](const char* name) {
     return std::make_unique<Timer>(loop.scheduler, [&loop, name] { loop.trace << name << ";"; });
@@ -116,11 +119,12 @@
   CHECK_EQ(loop.trace.str(), "fired;");
 }
 
-TEST_CASE("actors run in the order raised; news between two waits is kept; destroying one ends it") {
+TEST_CASE(
+    "coroutines resume in the order raised; a signal between two waits is kept; destroying a task ends it") {
   Loop loop;
   Signal one(loop.scheduler), two(loop.scheduler);
   Mailbox first(one), second(two);
-  Task a = echo(first, one, loop.trace, "a"), b = echo(second, two, loop.trace, "b");
+  Task a = traceActor(first, one, loop.trace, "a"), b = traceActor(second, two, loop.trace, "b");
   second.post([&] { loop.trace << "early;"; });
   a.start(), b.start();
   first.post([&] {
@@ -134,10 +138,10 @@
   first.post([&] { loop.trace << "never;"; });
   a = Task();  // while its signal is raised
   loop.runFor(0.005);
-  CHECK_EQ(loop.trace.str(), "a gone;");
+  CHECK_EQ(loop.trace.str(), "a destroyed;");
 }
 
-TEST_CASE("a stream: bounds, what has begun to go out, what is taken back, how it ends") {
+TEST_CASE("a stream: buffer bounds, started and withdrawn writes, close reason") {
   Loop loop;
   Signal signal(loop.scheduler);
   int ends[2];
@@ -164,14 +168,14 @@
   ::close(ends[1]);
 }
 
-TEST_CASE("a client whose request has come does not give way, however often it is asked") {
+TEST_CASE("a client connection with a request received is not evicted, however often that is tried") {
   Loop loop;
   Settings settings;
   Dispatcher dispatcher(loop.scheduler, settings, 1);
   int ends[2];
   REQUIRE_EQ(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends), 0);
-  MemoryBudget hold{1 << 20};
-  ClientConnection client(loop.scheduler, settings, dispatcher, hold, ends[0]);
+  MemoryBudget memoryBudget{1 << 20};
+  ClientConnection client(loop.scheduler, settings, dispatcher, memoryBudget, ends[0]);
   client.onFinished([] {}, [] {});
   client.start();
   REQUIRE_EQ(::write(ends[1], "GET /check HTTP/1.1\r\n\r\n", 23), 23);
@@ -185,16 +189,19 @@
   ::close(ends[1]);
 }
 
-struct Waits final : Responder {  // for an answer
+// A client that waits for a response.
+struct WaitingResponder final : Responder {
   void respond(Response) override {}
   void abandon() override {}
   bool isConnected() override { return true; }
 };
 
-// An engine with a command that goes to it, and the listener that stands for its machine.
-struct OneEngine {
-  OneEngine()
-      : listener(::socket(AF_INET, SOCK_STREAM, 0)), dispatcher(loop.scheduler, settings, 1), room(8) {
+// An engine, a command to send to it, and a listening socket in place of its server.
+struct EngineFixture {
+  EngineFixture()
+      : listener(::socket(AF_INET, SOCK_STREAM, 0)),
+        dispatcher(loop.scheduler, settings, 1),
+        connectionQuota(8) {
     sockaddr_in native{};
     native.sin_family = AF_INET, native.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof native;
@@ -204,11 +211,11 @@
     connectionSettings.sendsPerConnection = 2, connectionSettings.connectTimeout = 5,
     connectionSettings.idleTimeout = 15;
     engine.setAddress({INADDR_LOOPBACK, ntohs(native.sin_port)}, std::nullopt);
-    ticket->responder = &client;  // what nobody waits for does not go out
-    ticket->request.id = "9b1f", ticket->request.profile = "quick", ticket->request.statement = "x";
-    ticket->request.clientDeadline = loop.scheduler.now() + 50;
+    context->responder = &client;  // a command without a responder is not sent
+    context->request.id = "9b1f", context->request.profile = "quick", context->request.statement = "x";
+    context->request.clientDeadline = loop.scheduler.now() + 50;
   }
-  ~OneEngine() { ::close(peer), ::close(listener); }
+  ~EngineFixture() { ::close(peer), ::close(listener); }
   void accept() {
     loop.runFor(0.05);
     peer = ::accept(listener, nullptr, nullptr);
@@ -218,54 +225,56 @@
   ConnectionSettings connectionSettings;
   int listener, peer = -1;
   Dispatcher dispatcher;
-  size_t most = 1;
-  ConnectionQuota room;
-  Engine engine{loop.scheduler, connectionSettings, dispatcher, 7, most, room};
-  Waits client;
-  std::shared_ptr<RequestContext> ticket = std::make_shared<RequestContext>();
+  size_t maxConnections = 1;
+  ConnectionQuota connectionQuota;
+  Engine engine{loop.scheduler, connectionSettings, dispatcher, 7, maxConnections, connectionQuota};
+  WaitingResponder client;
+  std::shared_ptr<RequestContext> context = std::make_shared<RequestContext>();
 };
 
-TEST_CASE("a new priority follows a send that is out, and not one that waits for its connection") {
-  OneEngine one;
-  one.ticket->priority = 1;
-  one.engine.send(one.ticket, one.loop.scheduler.now() + 40);
-  one.ticket->priority = 2;
-  one.engine.reprioritise(one.ticket);  // it takes the new one along
-  one.accept();
-  one.ticket->priority = 3;
-  one.engine.reprioritise(one.ticket);
-  one.loop.runFor(0.05);
+TEST_CASE(
+    "a new priority is sent after a send on the wire, but merged into one that waits for its connection") {
+  EngineFixture fixture;
+  fixture.context->priority = 1;
+  fixture.engine.send(fixture.context, fixture.loop.scheduler.now() + 40);
+  fixture.context->priority = 2;
+  fixture.engine.reprioritise(fixture.context);  // the send carries the new priority
+  fixture.accept();
+  fixture.context->priority = 3;
+  fixture.engine.reprioritise(fixture.context);
+  fixture.loop.runFor(0.05);
   char text[200];
-  ssize_t got = ::recv(one.peer, text, sizeof text, MSG_DONTWAIT);
+  ssize_t got = ::recv(fixture.peer, text, sizeof text, MSG_DONTWAIT);
   std::string lines(text, static_cast<size_t>(std::max<ssize_t>(got, 0)));
   CHECK_NE(lines.find(",weight=2 1\r\nx\r\nRANK 9b1f 3\r\n"), std::string::npos);
   CHECK_EQ(lines.find("RANK 9b1f 2"), std::string::npos);
 }
 
-TEST_CASE("an engine that has written much is read in turns, others between") {
-  OneEngine one;
-  one.engine.send(one.ticket, one.loop.scheduler.now() + 40);
-  one.accept();
+TEST_CASE("a large input from one engine is read in portions, between which other coroutines run") {
+  EngineFixture fixture;
+  fixture.engine.send(fixture.context, fixture.loop.scheduler.now() + 40);
+  fixture.accept();
   std::string notes, note = "9b1f INFO - 0\r\n\r\n";
   while (notes.size() < 1'000'000)
     notes += note;
   notes += "and nothing of ours at the end\r\n";
-  REQUIRE_EQ(::send(one.peer, notes.data(), notes.size(), MSG_DONTWAIT), ssize_t(notes.size()));
-  int turns = 0;  // of others, until the engine's connection is closed for its last line
+  REQUIRE_EQ(::send(fixture.peer, notes.data(), notes.size(), MSG_DONTWAIT), ssize_t(notes.size()));
+  int turns = 0;  // of another coroutine, until the engine's connection is closed for its malformed last line
   auto count = [](Scheduler& scheduler, int from, int& passed) -> Task {
     Signal signal(scheduler);
     for (char text[200]; ::recv(from, text, sizeof text, MSG_DONTWAIT) != 0; ++passed)
       co_await signal.afterOthers();
     scheduler.stop();
   };
-  Task task = count(one.loop.scheduler, one.peer, turns);
+  Task task = count(fixture.loop.scheduler, fixture.peer, turns);
   task.start();
-  one.loop.runFor(60);
+  fixture.loop.runFor(60);
   CHECK_GE(turns, 6);  // 1 MB: no more than 160 KB a turn
 }
 
-// The door stands between two of its turns, in the middle of those who connect, when its time to close comes.
-TEST_CASE("the door closes while it takes turns with a stampede") {
+// Guards against a listener that misses the end of its drain: the time comes while it has yielded between two
+// portions of a burst of connections.
+TEST_CASE("a listener ends its drain during a burst of connections") {
   Loop loop;
   Config config;
   sockaddr_in native{};
@@ -278,16 +287,17 @@
   config.listenAddress = {INADDR_LOOPBACK, ntohs(native.sin_port)}, config.maxDescriptors = 96,
   config.memoryMb = 192;
   Dispatcher dispatcher(loop.scheduler, config.settings, 1);
-  Listener door(loop.scheduler, config, dispatcher);
-  door.open();
-  std::vector<int> stampede;
+  Listener listener(loop.scheduler, config, dispatcher);
+  listener.open();
+  std::vector<int> burst;
   for (int i = 0; i < 300; ++i) {
-    stampede.push_back(::socket(AF_INET, SOCK_STREAM, 0));
-    REQUIRE_EQ(::connect(stampede.back(), reinterpret_cast<sockaddr*>(&native), size), 0);
+    burst.push_back(::socket(AF_INET, SOCK_STREAM, 0));
+    REQUIRE_EQ(::connect(burst.back(), reinterpret_cast<sockaddr*>(&native), size), 0);
   }
-  door.drain();
+  listener.drain();
   double due = loop.scheduler.now() + 0.8;
-  auto stall = [](Scheduler& scheduler, double until) -> Task {  // in the second turn, past that time
+  // Blocks the scheduler at the second turn of this coroutine, until after that time.
+  auto stall = [](Scheduler& scheduler, double until) -> Task {
     Signal signal(scheduler);
     for (int turn = 0; turn < 2; ++turn)
       co_await signal.afterOthers();
@@ -296,33 +306,33 @@
   };
   Task task = stall(loop.scheduler, due);
   task.start();
-  loop.scheduler.run();  // to its own end: all are told, and it has waited for them
+  loop.scheduler.run();  // until the listener stops it, after the drain
   CHECK_GE(loop.scheduler.now(), due);
-  for (int fd : stampede)
+  for (int fd : burst)
     ::close(fd);
 }
 
-TEST_CASE("each way to end has its outcome") {
-  std::ostringstream told;
+TEST_CASE("each close reason has its outcome") {
+  std::ostringstream trace;
   for (int i = int(CloseReason::refused); i <= int(CloseReason::timedOut); ++i) {
-    auto ending = static_cast<CloseReason>(i);
-    told << nameOf(ending) << ": " << outcomeName(outcomeOf(ending, false)) << ", "
-         << outcomeName(outcomeOf(ending, true)) << "; ";
+    auto reason = static_cast<CloseReason>(i);
+    trace << nameOf(reason) << ": " << outcomeName(outcomeOf(reason, false)) << ", "
+          << outcomeName(outcomeOf(reason, true)) << "; ";
   }
   CHECK_EQ(
-      told.str(),
+      trace.str(),
       "refused: connectFailed, reset; connect timed out: connectFailed, reset; out of descriptors: unused, "
       "reset; closed: connectFailed, reset; reset: connectFailed, reset; garbled: connectFailed, reset; "
       "overfull: connectFailed, reset; idle: connectFailed, reset; silent: connectFailed, reset; cut short: "
       "connectFailed, reset; replaced: unused, reset; timed out: unused, expired; ");
-  told.str("");
-  for (auto word : {ResponseKind::answered, ResponseKind::overloaded, ResponseKind::error,
+  trace.str("");
+  for (auto kind : {ResponseKind::answered, ResponseKind::overloaded, ResponseKind::error,
                     ResponseKind::expired, ResponseKind::healthy, ResponseKind::unhealthy})
-    told << outcomeName(outcomeOf(word)) << " ";
-  CHECK_EQ(told.str(), "answered full error unused answered error ");
+    trace << outcomeName(outcomeOf(kind)) << " ";
+  CHECK_EQ(trace.str(), "answered full error unused answered error ");
 }
 
-TEST_CASE("pages are gathered in any order, and only what belongs together") {
+TEST_CASE("result pages are assembled in any order; duplicate, foreign and excess pages are rejected") {
   auto page = [](int number, const char* body, int pages = 1) {
     EngineResponse answer;
     answer.pageNumber = number, answer.pageCount = pages, answer.body = body;
@@ -407,35 +417,38 @@
   CHECK_EQ(config.initialEvents[0].engines[0].record.id, 0xc41f7a);
   CHECK_EQ(config.initialEvents[0].engines[0].startedAtUnixMs, 5);
   CHECK_EQ(int(config.initialEvents[1].engines[0].record.state), int(EngineState::removed));
-  CHECK_EQ(config.initialEvents[2].sequence, 3);  // so many are known, though the last ones held no news
+  // The last sequence number known, though its event changed no engine.
+  CHECK_EQ(config.initialEvents[2].sequence, 3);
 }
 
-TEST_CASE("what is wrong with the configuration is told by the key's name") {
-  auto fault = [](const char* at, Json value) {
-    return configFault([&](Json& json) { json[Json::json_pointer(at)] = std::move(value); });
+TEST_CASE("configuration errors name the key by its path") {
+  auto errorWith = [](const char* pointer, Json value) {
+    return configError([&](Json& json) { json[Json::json_pointer(pointer)] = std::move(value); });
   };
-  auto lacks = [](const char* in, const char* key) {
-    return configFault([&](Json& json) { json[Json::json_pointer(in)].erase(key); });
+  auto errorWithout = [](const char* pointer, const char* key) {
+    return configError([&](Json& json) { json[Json::json_pointer(pointer)].erase(key); });
   };
   for (auto key : {"listen", "changelog", "seed", "known", "settings"})
-    CHECK_EQ(lacks("", key), std::string(key) + ": is missing");
-  CHECK_EQ(lacks("/limits", "sockets"), "limits.sockets: is missing");
-  CHECK_EQ(lacks("/settings", "classes"), "settings.classes: must name at least one class");
-  CHECK_EQ(lacks("/settings/classes/0", "name"), "settings.classes[0].name: is missing");
-  CHECK_EQ(lacks("/settings/limits", "connIdleUs"), "settings.limits.connIdleUs: is missing");
-  CHECK_EQ(lacks("/known/results/0/fleet/hosts/0", "dial"),
+    CHECK_EQ(errorWithout("", key), std::string(key) + ": is missing");
+  CHECK_EQ(errorWithout("/limits", "sockets"), "limits.sockets: is missing");
+  CHECK_EQ(errorWithout("/settings", "classes"), "settings.classes: must name at least one class");
+  CHECK_EQ(errorWithout("/settings/classes/0", "name"), "settings.classes[0].name: is missing");
+  CHECK_EQ(errorWithout("/settings/limits", "connIdleUs"), "settings.limits.connIdleUs: is missing");
+  CHECK_EQ(errorWithout("/known/results/0/fleet/hosts/0", "dial"),
            "known.results[0].fleet.hosts[0].dial: is missing");
-  CHECK_EQ(fault("/listen", "somewhere"), "listen: must be an IPv4 address and a port");
-  CHECK_EQ(fault("/seed", "xyz"), "seed: must be hex digits");
-  CHECK_EQ(fault("/settings", 5), "settings: must be an object");
-  CHECK_EQ(fault("/settings/classes", 5), "settings.classes: must be a list");
-  CHECK_EQ(fault("/settings/classes/0", 5), "settings.classes[0]: must be an object");
-  CHECK_EQ(fault("/settings/classes/0/aimUs", "soon"), "settings.classes[0].aimUs: is of the wrong type");
-  CHECK_EQ(fault("/settings/classes/0/repeat", "often"), "settings.classes[0].repeat: unknown word 'often'");
-  CHECK_EQ(fault("/settings/limits/streamsPerConn", 0), "settings.limits.streamsPerConn: must be at least 1");
-  CHECK_EQ(fault("/settings/limits/connectTimeoutUs", 0),
+  CHECK_EQ(errorWith("/listen", "somewhere"), "listen: must be an IPv4 address and a port");
+  CHECK_EQ(errorWith("/seed", "xyz"), "seed: must be hex digits");
+  CHECK_EQ(errorWith("/settings", 5), "settings: must be an object");
+  CHECK_EQ(errorWith("/settings/classes", 5), "settings.classes: must be a list");
+  CHECK_EQ(errorWith("/settings/classes/0", 5), "settings.classes[0]: must be an object");
+  CHECK_EQ(errorWith("/settings/classes/0/aimUs", "soon"), "settings.classes[0].aimUs: is of the wrong type");
+  CHECK_EQ(errorWith("/settings/classes/0/repeat", "often"),
+           "settings.classes[0].repeat: unknown word 'often'");
+  CHECK_EQ(errorWith("/settings/limits/streamsPerConn", 0),
+           "settings.limits.streamsPerConn: must be at least 1");
+  CHECK_EQ(errorWith("/settings/limits/connectTimeoutUs", 0),
            "settings.limits.connectTimeoutUs: must be above 0");
-  CHECK_EQ(fault("/known/results/0/fleet/hosts/0/host", "s-1"),
+  CHECK_EQ(errorWith("/known/results/0/fleet/hosts/0/host", "s-1"),
            "known.results[0].fleet.hosts[0].host: must be s- followed by 8 hex digits");
-  CHECK_EQ(fault("/log", "loud"), "log: unknown word 'loud'");
+  CHECK_EQ(errorWith("/log", "loud"), "log: unknown word 'loud'");
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -1,4 +1,5 @@
-// The parsers and writers: whole, in every split, and damaged.
+// Tests of the protocol parsers and formatters: complete input, input split at every byte, and malformed
+// input.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -14,133 +15,139 @@
 
 namespace {
 
-// What a reader makes of `bytes`, as printed by `tell`, which takes from the front of what has come so far.
-using Tell = std::function<std::string(std::string& bytes)>;
-using Reader = std::function<Tell()>;
+// Feeds a parser with what has arrived so far, removes what it takes from the front, and returns a transcript
+// of what it parsed.
+using Feed = std::function<std::string(std::string& bytes)>;
+// Creates a new parser.
+using NewParser = std::function<Feed()>;
 
-std::string whole(const Reader& reader, std::string bytes) { return reader()(bytes); }
+std::string parseAtOnce(const NewParser& newParser, std::string bytes) { return newParser()(bytes); }
 
-// The same wherever the bytes are cut in two, and byte by byte.
-void checkSplits(const Reader& reader, const std::string& bytes, const std::string& expected) {
-  CHECK_EQ(whole(reader, bytes), expected);
-  auto inParts = [&](std::function<bool(size_t)> cutAfter) {
-    Tell tell = reader();
-    std::string buffer, told;
+// Checks that the transcript is the same wherever the bytes are split in two, and when they arrive one by
+// one.
+void checkSplits(const NewParser& newParser, const std::string& bytes, const std::string& expected) {
+  CHECK_EQ(parseAtOnce(newParser, bytes), expected);
+  auto parseInParts = [&](std::function<bool(size_t)> splitAfter) {
+    Feed feed = newParser();
+    std::string buffer, transcript;
     for (size_t i = 0; i < bytes.size(); ++i) {
       buffer += bytes[i];
-      if (cutAfter(i) || i + 1 == bytes.size())
-        told += tell(buffer);
+      if (splitAfter(i) || i + 1 == bytes.size())
+        transcript += feed(buffer);
     }
-    return told;
+    return transcript;
   };
-  for (size_t cut = 0; cut + 1 < bytes.size(); ++cut)
-    REQUIRE_EQ(inParts([cut](size_t i) { return i == cut; }), expected);
-  CHECK_EQ(inParts([](size_t) { return true; }), expected);
+  for (size_t split = 0; split + 1 < bytes.size(); ++split)
+    REQUIRE_EQ(parseInParts([split](size_t i) { return i == split; }), expected);
+  CHECK_EQ(parseInParts([](size_t) { return true; }), expected);
 }
 
-Tell httpTell() {
-  return [reader = HttpRequestParser()](std::string& bytes) mutable {
-    std::string told;
+Feed httpFeed() {
+  return [parser = HttpRequestParser()](std::string& bytes) mutable {
+    std::string transcript;
     HttpRequest request;
     while (true) {
-      auto state = reader.next(bytes, request);
+      auto state = parser.next(bytes, request);
       if (state == HttpRequestParser::State::needMore)
-        return told;
+        return transcript;
       if (state == HttpRequestParser::State::expectsContinue)
         continue;
       if (state == HttpRequestParser::State::malformed)
-        return told + "bad " + std::to_string(reader.status());
-      told += request.method + " " + request.path + " [" + request.body + "]";
+        return transcript + "bad " + std::to_string(parser.status());
+      transcript += request.method + " " + request.path + " [" + request.body + "]";
       if (auto* id = request.header("req-id"))
-        told += " id " + *id;
-      told += request.keepAlive ? ";" : " closes;";
+        transcript += " id " + *id;
+      transcript += request.keepAlive ? ";" : " closes;";
     }
   };
 }
 
-Tell engineTell() {
-  return [reader = EngineResponseParser()](std::string& bytes) mutable {
-    std::string told;
-    EngineResponse answer;
+Feed engineFeed() {
+  return [parser = EngineResponseParser()](std::string& bytes) mutable {
+    std::string transcript;
+    EngineResponse response;
     while (true) {
-      auto state = reader.next(bytes, answer);
+      auto state = parser.next(bytes, response);
       if (state == EngineResponseParser::State::needMore)
-        return told;
+        return transcript;
       if (state == EngineResponseParser::State::malformed)
-        return told + "bad";
-      told += answer.id + " " + std::to_string(int(answer.kind)) + " pages " +
-              std::to_string(answer.pageCount) + " page " + std::to_string(answer.pageNumber) + " [" +
-              answer.body + "]";
-      if (answer.topic)
-        told += " note " + std::to_string(int(*answer.topic)) + "=" + std::to_string(answer.topicValue);
-      if (answer.loadReport)
-        told += " in hand " + std::to_string(answer.loadReport->inFlight.value_or(-1));
-      if (answer.usage)
-        told += " work " + std::to_string(answer.usage->work);
-      told += ";";
+        return transcript + "bad";
+      transcript += response.id + " " + std::to_string(int(response.kind)) + " pages " +
+                    std::to_string(response.pageCount) + " page " + std::to_string(response.pageNumber) +
+                    " [" + response.body + "]";
+      if (response.topic)
+        transcript +=
+            " status " + std::to_string(int(*response.topic)) + "=" + std::to_string(response.topicValue);
+      if (response.loadReport)
+        transcript += " in flight " + std::to_string(response.loadReport->inFlight.value_or(-1));
+      if (response.usage)
+        transcript += " work " + std::to_string(response.usage->work);
+      transcript += ";";
     }
   };
 }
 
-Tell frameTell() {
-  return [reader = FrameParser({"east", "west"}, {"std", "big"})](std::string& bytes) {
-    std::string told;
+Feed frameFeed() {
+  return [parser = FrameParser({"east", "west"}, {"std", "big"})](std::string& bytes) {
+    std::string transcript;
     EngineListEvent event;
     while (true) {
-      auto state = reader.next(bytes, event);
+      auto state = parser.next(bytes, event);
       if (state == FrameParser::State::needMore)
-        return told;
+        return transcript;
       if (state == FrameParser::State::malformed)
-        return told + "bad";
+        return transcript + "bad";
       if (state == FrameParser::State::heartbeat) {
-        told += "nothing new;";
+        transcript += "heartbeat;";
         continue;
       }
-      told += std::to_string(event.sequence) + (event.isFullList ? " whole" : " changes");
+      transcript += std::to_string(event.sequence) + (event.isFullList ? " whole" : " changes");
       for (auto& one : event.engines)
-        told += " " + std::to_string(one.record.id) + "@" + formatAddress(one.address) + " " +
-                one.record.zone + "/" + one.record.kind + "/" + std::to_string(one.record.cell) + " state " +
-                std::to_string(int(one.record.state)) + " born " + std::to_string(one.startedAtUnixMs);
-      told += ";";
+        transcript += " " + std::to_string(one.record.id) + "@" + formatAddress(one.address) + " " +
+                      one.record.zone + "/" + one.record.kind + "/" + std::to_string(one.record.cell) +
+                      " state " + std::to_string(int(one.record.state)) + " born " +
+                      std::to_string(one.startedAtUnixMs);
+      transcript += ";";
     }
   };
 }
 
-std::string big(uint64_t value, int width) {
+std::string bigEndian(uint64_t value, int width) {
   std::string bytes;
   for (int i = width - 1; i >= 0; --i)
     bytes += static_cast<char>(value >> (8 * i) & 0xff);
   return bytes;
 }
-std::string frame(uint64_t number, uint64_t kind, const std::string& payload) {
-  return big(9 + payload.size(), 4) + big(number, 8) + big(kind, 1) + payload;
+std::string encodeFrame(uint64_t number, uint64_t kind, const std::string& payload) {
+  return bigEndian(9 + payload.size(), 4) + bigEndian(number, 8) + bigEndian(kind, 1) + payload;
 }
-std::string record(uint32_t id, uint64_t state, uint64_t zone = 1, uint64_t kind = 0) {
-  return big(id, 4) + big(0x0a010009, 4) + big(4100, 2) + big(state, 1) + big(zone, 1) + big(kind, 1) +
-         big(2, 2) + big(1500, 4) + big(1700000000123, 8);
+std::string encodeRecord(uint32_t id, uint64_t state, uint64_t zone = 1, uint64_t kind = 0) {
+  return bigEndian(id, 4) + bigEndian(0x0a010009, 4) + bigEndian(4100, 2) + bigEndian(state, 1) +
+         bigEndian(zone, 1) + bigEndian(kind, 1) + bigEndian(2, 2) + bigEndian(1500, 4) +
+         bigEndian(1700000000123, 8);
 }
 
 }  // namespace
 
-TEST_CASE("requests are read in every split") {
-  checkSplits(httpTell,
+TEST_CASE("HTTP requests are parsed however they are split") {
+  checkSplits(httpFeed,
               "POST /do/report HTTP/1.1\r\nHost: a\r\nReq-Id: 9b1f\r\nContent-Length: 5\r\n\r\nab\r\nc"
               "GET /check HTTP/1.1\r\nConnection: te, Close\r\n\r\n",
               "POST /do/report [ab\r\nc] id 9b1f;GET /check [] closes;");
   checkSplits(
-      httpTell,
+      httpFeed,
       "POST /do/x HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;e=1\r\nde\r\n0\r\nT: 1\r\n\r\n",
       "POST /do/x [abcde];");
 }
 
-TEST_CASE("a client that waits for leave to send its body is told once") {
-  HttpRequestParser reader;
+TEST_CASE("a client that expects 100-continue is answered once") {
+  HttpRequestParser parser;
   HttpRequest request;
   std::string bytes = "POST /do/x HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
-  CHECK_EQ(int(reader.next(bytes, request)), int(HttpRequestParser::State::expectsContinue));
-  CHECK_EQ(int(reader.next(bytes, request)), int(HttpRequestParser::State::needMore));
+  CHECK_EQ(int(parser.next(bytes, request)), int(HttpRequestParser::State::expectsContinue));
+  CHECK_EQ(int(parser.next(bytes, request)), int(HttpRequestParser::State::needMore));
   bytes = "ab";
-  CHECK_EQ(int(reader.next(bytes, request)), int(HttpRequestParser::State::complete));
+  CHECK_EQ(int(parser.next(bytes, request)), int(HttpRequestParser::State::complete));
   CHECK_EQ(request.body, "ab");
 }
 
@@ -154,21 +161,22 @@
         head("Content-Length: 1\r\nContent-Length: 2"), head("Req-Id: a\r\nreq-id: b"),
         head("Transfer-Encoding: gzip"), head("Transfer-Encoding: chunked\r\nContent-Length: 3"),
         head("Transfer-Encoding: chunked") + "zz\r\n", head("Transfer-Encoding: chunked") + "1\r\nabc"})
-    CHECK_EQ(whole(httpTell, text), "bad 400");
-  CHECK_EQ(whole(httpTell, head("Content-Length: 200000")), "bad 413");
-  CHECK_EQ(whole(httpTell, head("Transfer-Encoding: chunked") + "ffffff\r\n"), "bad 413");
-  CHECK_EQ(whole(httpTell, head("A: " + std::string(HttpRequestParser::kMaxHeadBytes, 'a'))), "bad 431");
-  CHECK_EQ(whole(httpTell, std::string(HttpRequestParser::kMaxHeadBytes + 1, 'a')), "bad 431");
-  CHECK_EQ(whole(httpTell, head("Expect: cake")), "bad 417");
+    CHECK_EQ(parseAtOnce(httpFeed, text), "bad 400");
+  CHECK_EQ(parseAtOnce(httpFeed, head("Content-Length: 200000")), "bad 413");
+  CHECK_EQ(parseAtOnce(httpFeed, head("Transfer-Encoding: chunked") + "ffffff\r\n"), "bad 413");
+  CHECK_EQ(parseAtOnce(httpFeed, head("A: " + std::string(HttpRequestParser::kMaxHeadBytes, 'a'))),
+           "bad 431");
+  CHECK_EQ(parseAtOnce(httpFeed, std::string(HttpRequestParser::kMaxHeadBytes + 1, 'a')), "bad 431");
+  CHECK_EQ(parseAtOnce(httpFeed, head("Expect: cake")), "bad 417");
 }
 
-TEST_CASE("answers to clients") {
+TEST_CASE("HTTP responses") {
   CHECK_EQ(formatHttpResponse(503, "{}", false, 0.2),
            "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nContent-Length: 2\r\n"
            "Retry-After: 1\r\nConnection: close\r\n\r\n{}");
 }
 
-TEST_CASE("the group of tables of a statement") {
+TEST_CASE("the table group of a statement") {
   auto is = [](const char* statement, std::optional<uint64_t> group) {
     INFO(statement);
     CHECK_EQ(tableGroupOf(statement).value_or(999), group.value_or(999));
@@ -195,25 +203,25 @@
   is("$a", std::nullopt);
 }
 
-TEST_CASE("answers of engines are read in every split") {
+TEST_CASE("engine responses are parsed however they are split") {
   checkSplits(
-      engineTell,
+      engineFeed,
       "9b1f HIT fetches=2 8\r\na\tb\tc\n\r\n\r\np1 PONG meter=inflight:7;queue:0.5 0\r\n\r\n"
       "9b1f INFO tell=queued,figure=2,odd=1 0\r\n\r\n9b1f PART fetch_no=1,effort=1500,high=64 0\r\n\r\n",
-      "9b1f 0 pages 2 page 0 [a\tb\tc\n\r\n];p1 6 pages 1 page 0 [] in hand 7.000000;"
-      "9b1f 4 pages 1 page 0 [] note 2=2.000000;9b1f 5 pages 1 page 1 [] work 1.500000;");
+      "9b1f 0 pages 2 page 0 [a\tb\tc\n\r\n];p1 6 pages 1 page 0 [] in flight 7.000000;"
+      "9b1f 4 pages 1 page 0 [] status 2=2.000000;9b1f 5 pages 1 page 1 [] work 1.500000;");
 }
 
-TEST_CASE("answers of engines that are damaged") {
+TEST_CASE("malformed engine responses") {
   for (auto text : {"x HIT - \r\n", "x HIT - -1\r\n", "x HIT - 1x\r\n", "x HIT -\r\n", "x\r\n",
                     " HIT - 0\r\n", "x ODD - 0\r\n", "x HIT fetches=0 0\r\n", "x HIT fetches=a 0\r\n",
                     "x PART fetch_no=-1 0\r\n", "x INFO figure=nan 0\r\n", "x HIT - 48001\r\n",
                     "x HIT - 2\r\nabcd", "x HIT =1 0\r\n", "x PONG meter=inflight 0\r\n"})
-    CHECK_MESSAGE(whole(engineTell, text) == "bad", text);
-  CHECK_EQ(whole(engineTell, std::string(EngineResponseParser::kMaxLineBytes + 1, 'x')), "bad");
+    CHECK_MESSAGE(parseAtOnce(engineFeed, text) == "bad", text);
+  CHECK_EQ(parseAtOnce(engineFeed, std::string(EngineResponseParser::kMaxLineBytes + 1, 'x')), "bad");
 }
 
-TEST_CASE("lines to engines") {
+TEST_CASE("engine requests") {
   CHECK_EQ(engine_request::send({"9b1f", "report", "", "SELECT", 1.4995, std::nullopt}),
            "GET 9b1f cls=report,limit=1500 6\r\nSELECT\r\n");
   CHECK_EQ(engine_request::send({"9b1f", "load", "5c0f", "", 0, 3}),
@@ -224,23 +232,25 @@
            "DROP a\r\nRANK a 2\r\nPAGE a 4\r\nCLOSE a\r\nLOAD p1\r\nPING p2\r\n");
 }
 
-TEST_CASE("frames of the change log are read in every split") {
-  checkSplits(frameTell,
-              frame(1, 1, record(7, 0) + record(8, 1, 0, 1)) + frame(1, 0, "") + frame(2, 2, record(7, 2)),
+TEST_CASE("frames of the change log are parsed however they are split") {
+  checkSplits(frameFeed,
+              encodeFrame(1, 1, encodeRecord(7, 0) + encodeRecord(8, 1, 0, 1)) + encodeFrame(1, 0, "") +
+                  encodeFrame(2, 2, encodeRecord(7, 2)),
               "1 whole 7@10.1.0.9:4100 west/std/2 state 0 born 1700000000123 "
-              "8@10.1.0.9:4100 east/big/2 state 1 born 1700000000123;nothing new;"
+              "8@10.1.0.9:4100 east/big/2 state 1 born 1700000000123;heartbeat;"
               "2 changes 7@10.1.0.9:4100 west/std/2 state 2 born 1700000000123;");
-  CHECK_EQ(encodeResumeRequest(0x0102030405060708), big(0x0102030405060708, 8));
+  CHECK_EQ(encodeResumeRequest(0x0102030405060708), bigEndian(0x0102030405060708, 8));
 }
 
-TEST_CASE("frames of the change log that are damaged") {
+TEST_CASE("malformed frames of the change log") {
   for (auto& bytes :
-       {big(8, 4), big(0xffffffff, 4), frame(1, 3, ""), frame(1, 0, "x"), frame(1, 1, "short"),
-        frame(1, 2, record(7, 3)), frame(1, 2, record(7, 0, 2)), frame(1, 2, record(7, 0, 0, 2))})
-    CHECK_EQ(whole(frameTell, bytes), "bad");
+       {bigEndian(8, 4), bigEndian(0xffffffff, 4), encodeFrame(1, 3, ""), encodeFrame(1, 0, "x"),
+        encodeFrame(1, 1, "short"), encodeFrame(1, 2, encodeRecord(7, 3)),
+        encodeFrame(1, 2, encodeRecord(7, 0, 2)), encodeFrame(1, 2, encodeRecord(7, 0, 0, 2))})
+    CHECK_EQ(parseAtOnce(frameFeed, bytes), "bad");
 }
 
-TEST_CASE("rows become JSON byte for byte, or not at all") {
+TEST_CASE("result rows are converted to JSON unchanged, or rejected") {
   auto json = [](std::string_view page) {
     std::string text = "[";
     return appendRows(text, page) ? text : "bad";
@@ -253,9 +263,9 @@
            "[[\"\xe2\x82\xac\",\"\xf0\x9f\x8c\xab\",\"\xed\x9f\xbf\"]");
   for (auto page : {"a\tb\tc", "a\tb\n", "a\tb\tc\td\n", "\n"})
     CHECK_EQ(json(page), "bad");
-  for (auto noise : {"\xff", "\x80", "\xc3", "\xc0\xaf", "\xe2\x82", "\xe0\x9f\xbf", "\xed\xa0\x80",
-                     "\xf0\x8f\xbf\xbf", "\xf4\x90\x80\x80", "\xf5\x80\x80\x80"})
-    CHECK_EQ(json("a\tb\t" + std::string(noise) + "\n"), "bad");  // no text that a client could read
+  for (auto malformed : {"\xff", "\x80", "\xc3", "\xc0\xaf", "\xe2\x82", "\xe0\x9f\xbf", "\xed\xa0\x80",
+                         "\xf0\x8f\xbf\xbf", "\xf4\x90\x80\x80", "\xf5\x80\x80\x80"})
+    CHECK_EQ(json("a\tb\t" + std::string(malformed) + "\n"), "bad");  // invalid UTF-8
 }
 
 TEST_CASE("addresses") {
