--- a/src/lab/figures_file.cpp
+++ b/src/lab/figures_file.cpp
@@ -109,11 +109,16 @@
   };
   for (auto& row : document["figures"]) {
     Figure& figure = file.figures.emplace_back();
-    figure.name = row["name"], figure.variant = row["variant"], figure.unit = row["unit"],
+    figure.name = row["name"];
+    figure.variant = row["variant"];
+    figure.unit = row["unit"];
     figure.xName = row["xName"];
-    figure.xs = row["xs"].get<std::vector<double>>(), figure.ys = row["ys"].get<std::vector<double>>();
+    figure.xs = row["xs"].get<std::vector<double>>();
+    figure.ys = row["ys"].get<std::vector<double>>();
     figure.repeats = row["repeats"].get<std::vector<std::vector<double>>>();
-    figure.target = number(row, "target"), figure.limit = number(row, "limit"), figure.note = row["note"];
+    figure.target = number(row, "target");
+    figure.limit = number(row, "limit");
+    figure.note = row["note"];
     if (figure.xs.size() != figure.ys.size())
       throw ValidationErrors({path + ": " + figure.name + ": xs and ys differ in length"});
   }
--- a/src/lab/hollow_change_log.cpp
+++ b/src/lab/hollow_change_log.cpp
@@ -194,7 +194,7 @@
         continue;
       setState(id, kGone);
       publish({id});
-      scheduled[now + kRestartDowntime / std::max(1.0, speed / 4)] = {id, 0};
+      scheduled[now + kRestartDowntime / std::max(1.0, speed / 4)] = {id, kInService};
     }
     for (; changesDue >= 1; --changesDue) {  // other changes: a new weight
       uint32_t id = random.next() % plan.engines;
@@ -221,7 +221,8 @@
     }
     std::erase_if(bursts, [&](const Burst& burst) { return burst.nextId >= plan.engines; });
     if (now >= nextHeartbeat) {
-      broadcast(frame(kHeartbeat, "")), nextHeartbeat = now + kHeartbeatInterval;
+      broadcast(frame(kHeartbeat, ""));
+      nextHeartbeat = now + kHeartbeatInterval;
     }
   });
 }
--- a/src/lab/members_scale.cpp
+++ b/src/lab/members_scale.cpp
@@ -197,11 +197,12 @@
     throw ValidationErrors(std::move(errors));
   const Section file(document);
   MembersPlan plan;
-  plan.sizes = document["sizes"].get<std::vector<int>>(),
+  plan.sizes = document["sizes"].get<std::vector<int>>();
   plan.seeds = document["seeds"].get<std::vector<int>>();
   if (plan.seeds.size() != plan.sizes.size())
     throw ValidationErrors({path + ": seeds: one number a size is needed"});
-  plan.regions = file.get("regions", plan.regions), plan.target = file.get("target", plan.target);
+  plan.regions = file.get("regions", plan.regions);
+  plan.target = file.get("target", plan.target);
   for (auto& row : file.items("scenes")) {
     using Kind = MembersScene::Kind;
     MembersScene& scene = plan.scenes.emplace_back();
@@ -209,10 +210,12 @@
     scene.kind = row.choice<Kind>(
         "kind", "quiet",
         {{"quiet", Kind::quiet}, {"lost", Kind::lost}, {"apart", Kind::apart}, {"restarts", Kind::restarts}});
-    scene.duration = row.get("lasts", scene.duration), scene.lostShare = row.get("part", scene.lostShare);
-    scene.restartsPerSecond = row.get("restartsAt", 1.0),
+    scene.duration = row.get("lasts", scene.duration);
+    scene.lostShare = row.get("part", scene.lostShare);
+    scene.restartsPerSecond = row.get("restartsAt", 1.0);
     scene.restartDowntime = row.get("awayTime", scene.restartDowntime);
-    scene.sizes = row.get("sizes", plan.sizes), scene.seeds = row.get("seeds", scene.seeds);
+    scene.sizes = row.get("sizes", plan.sizes);
+    scene.seeds = row.get("seeds", scene.seeds);
   }
   return plan;
 }
--- a/src/lab/membership_simulation.cpp
+++ b/src/lab/membership_simulation.cpp
@@ -300,7 +300,8 @@
   falseDownDetections_ = 0;
   largestMessage_ = 0;
   maxConcurrentStreams_ = 0;
-  traffic_.assign(hosts_.size(), Traffic(now_)), totalTraffic_ = Traffic(now_);
+  traffic_.assign(hosts_.size(), Traffic(now_));
+  totalTraffic_ = Traffic(now_);
   downDetections_.assign(hosts_.size(), 0);
   suspicions_ = downDetections_;
 }
--- a/src/lab/scale.cpp
+++ b/src/lab/scale.cpp
@@ -10,12 +10,13 @@
 
 FiguresFile runScale(const ScalePlan& plan, const std::string& program) {
   FiguresFile file;
-  file.machine = machineHere(), file.plan = plan.document;
+  file.machine = machineHere();
+  file.plan = plan.document;
   double load = 0;
   std::ifstream("/proc/loadavg") >> load;
   file.machine["loadBefore"] = load;  // load of other programs
   ScaleBounds bounds;
-  bounds.deadline = secondsNow() + plan.maxSeconds,
+  bounds.deadline = secondsNow() + plan.maxSeconds;
   bounds.maxMemoryMb = file.machine.value("memoryMb", 0.0) / 2;
   size_t trials = 0;
   for (auto& run : plan.runs)
--- a/src/lab/scale_plan.cpp
+++ b/src/lab/scale_plan.cpp
@@ -10,25 +10,29 @@
   Step step;
   step.action = row.required<std::string>("do");
   step.figurePrefix = row.get<std::string>("name", step.action == "commands" ? "command" : step.action);
-  step.seconds = row.get("seconds", step.seconds), step.commandRate = row.get("rate", step.commandRate);
-  step.workSeconds = row.get("work", step.workSeconds),
+  step.seconds = row.get("seconds", step.seconds);
+  step.commandRate = row.get("rate", step.commandRate);
+  step.workSeconds = row.get("work", step.workSeconds);
   step.zoneAwaySeconds = row.get("away", step.zoneAwaySeconds);
   step.drainCount = row.get("times", step.drainCount);
-  step.changeSpeeds = row.get("speeds", step.changeSpeeds),
+  step.changeSpeeds = row.get("speeds", step.changeSpeeds);
   step.connectionCounts = row.get("counts", step.connectionCounts);
   return step;
 }
 
 Expectation readExpectation(const Section& row) {
   Expectation expectation;
-  expectation.figure = row.required<std::string>("figure"),
+  expectation.figure = row.required<std::string>("figure");
   expectation.variant = row.get<std::string>("variant", "");
   auto bound = [](const Section& from, const char* key) {
     return from.has(key) ? std::optional(from.required<double>(key)) : std::nullopt;
   };
-  const Section value = row.subsection("value"), exponent = row.subsection("exponent");
-  expectation.minimum = bound(value, "least"), expectation.maximum = bound(value, "most");
-  expectation.minExponent = bound(exponent, "least"), expectation.maxExponent = bound(exponent, "most");
+  const Section value = row.subsection("value");
+  const Section exponent = row.subsection("exponent");
+  expectation.minimum = bound(value, "least");
+  expectation.maximum = bound(value, "most");
+  expectation.minExponent = bound(exponent, "least");
+  expectation.maxExponent = bound(exponent, "most");
   return expectation;
 }
 
@@ -40,18 +44,20 @@
   if (auto errors = validateSchema(plan.document, kScaleSchema, path); !errors.empty())
     throw ValidationErrors(std::move(errors));
   const Section file(plan.document);
-  plan.name = file.required<std::string>("name"), plan.maxSeconds = file.required<double>("mostSeconds");
-  plan.realDispatchers = file.get("real", plan.realDispatchers),
+  plan.name = file.required<std::string>("name");
+  plan.maxSeconds = file.required<double>("mostSeconds");
+  plan.realDispatchers = file.get("real", plan.realDispatchers);
   plan.enginesPerDispatcher = file.get("enginesEach", plan.enginesPerDispatcher);
   if (file.has("dispatchers"))
     plan.configuredDispatchers = file.required<int>("dispatchers");
   plan.variants = file.get("variants", std::map<std::string, Json>{{"off", nullptr}});
-  plan.targets = file.get("target", plan.targets), plan.limits = file.get("limits", plan.limits);
+  plan.targets = file.get("target", plan.targets);
+  plan.limits = file.get("limits", plan.limits);
   for (auto& row : file.items("expect"))
     plan.expectations.push_back(readExpectation(row));
   for (auto& row : file.items("runs")) {
     ScaleRun& run = plan.runs.emplace_back();
-    run.engines = row.required<std::vector<int>>("engines"),
+    run.engines = row.required<std::vector<int>>("engines");
     run.settleSeconds = row.get("settle", run.settleSeconds);
     run.variants = row.get("variants", run.variants);
     for (auto& variant : run.variants)
--- a/src/lab/scale_trial.cpp
+++ b/src/lab/scale_trial.cpp
@@ -20,12 +20,14 @@
 constexpr int kZones = 16;
 constexpr double kSaturatedCores = 0.9;  // a dispatcher that uses more is limited by its one core
 constexpr double kReadyTimeout = 60;     // seconds in which all dispatchers must be ready
+constexpr double kPollInterval = 0.25;   // of limits and processes; seconds, as all below
 constexpr double kShortPollInterval = 0.001;
 constexpr double kIdleConnectTimeout = 20;
 constexpr double kEventTimeout = 2;  // until the change log has sent an event
 constexpr double kApplyTimeout = 5;  // until a dispatcher has applied a full list
 constexpr double kCommandWarmUp = 1.5;
 constexpr double kStopLoadDuration = 0.7;
+constexpr size_t kQuotedLogBytes = 300;
 
 // Loopback addresses that differ between runs, by the process id.
 Address ownAddress(uint32_t number, uint16_t port) {
@@ -124,7 +126,7 @@
   bounds_.processes.insert(changeLog_->pid());
   for (int i = 0; i < plan.realDispatchers; ++i) {
     auto& dispatcher = *dispatchers_.emplace_back(std::make_unique<Dispatcher>());
-    dispatcher.address = ownAddress(uint32_t(i) + 1, 4100),
+    dispatcher.address = ownAddress(uint32_t(i) + 1, 4100);
     dispatcher.logPath = folder_.path + "/" + std::to_string(i) + ".log";
     dispatcher.clients = std::make_unique<Child>(
         [&dispatcher](int orders) { serveClients(dispatcher.address, orders, "quick", *dispatcher.counts); });
@@ -236,7 +238,8 @@
   while (std::ranges::find(ready, false) != ready.end()) {
     for (size_t i = 0; i < dispatchers_.size(); ++i)
       if (!ready[i] && answersCheck(dispatchers_[i]->address)) {
-        ready[i] = true, add("ready", "s", secondsNow() - startedAt);
+        ready[i] = true;
+        add("ready", "s", secondsNow() - startedAt);
       }
     wait(0.002);
     if (secondsNow() > startedAt + kReadyTimeout)
@@ -252,12 +255,12 @@
         dispatcher->pid = 0;
         std::string log = logOf(*dispatcher);
         throw ValidationErrors({"a dispatcher ended, status " + std::to_string(status) + ": " +
-                                log.substr(log.size() - std::min<size_t>(log.size(), 300))});
+                                log.substr(log.size() - std::min<size_t>(log.size(), kQuotedLogBytes))});
       }
     double left = end - secondsNow();
     if (left <= 0)
       return;
-    sleepFor(std::min(left, 0.25));
+    sleepFor(std::min(left, kPollInterval));
   }
 }
 
@@ -358,8 +361,10 @@
     if (speed == 0 && !byChanges)
       for (auto& dispatcher : dispatchers_) {
         ProcessUsage usage = usageOf(dispatcher->pid);
-        add("memory.engines", "MB", usage.anonymous), add("memory.engines.peak", "MB", usage.peakRss);
-        add("count.descriptors", "open", usage.descriptors), add("count.threads", "threads", usage.threads);
+        add("memory.engines", "MB", usage.anonymous);
+        add("memory.engines.peak", "MB", usage.peakRss);
+        add("count.descriptors", "open", usage.descriptors);
+        add("count.threads", "threads", usage.threads);
         if (auto used = enginesInUse(logOf(*dispatcher)))
           add("count.view", "engines in view", *used);
       }
@@ -386,7 +391,8 @@
     }
     std::string base = "control." + speedName(speed);
     addEach(base + ".cores", "cores", used);
-    add(base + ".in", "B/s", in), add(base + ".out", "B/s", out);
+    add(base + ".in", "B/s", in);
+    add(base + ".out", "B/s", out);
     if (events < 1)
       continue;
     for (size_t i = 0; i < dispatchers_.size(); ++i)
@@ -467,8 +473,8 @@
   for (auto& engineProcess : engineProcesses_)
     for (auto& count : engineProcess->counts->sends)
       reachedEngines += count > 0;
-  add("count." + step.figurePrefix + ".engines", "engines", reachedEngines),
-      add("count." + step.figurePrefix + ".callers", "connections at one", mostConnections);
+  add("count." + step.figurePrefix + ".engines", "engines", reachedEngines);
+  add("count." + step.figurePrefix + ".callers", "connections at one", mostConnections);
   stopLoad();
   add(step.figurePrefix + ".lost", "commands", faultyCommands() - faultyBefore);
 }
