--- a/tests/service.h
+++ b/tests/service.h
@@ -592,8 +592,9 @@
   std::snprintf(text, sizeof text, "%016x", number);
   return text;
 }
-std::string post(int id, const std::string& profile = "quick", int waitMs = 6000,
-                 const std::string& more = "", const std::string& statement = "SELECT 1 FROM sales_17.t") {
+[[maybe_unused]] std::string post(int id, const std::string& profile = "quick", int waitMs = 6000,
+                                  const std::string& more = "",
+                                  const std::string& statement = "SELECT 1 FROM sales_17.t") {
   return "POST /do/" + profile + " HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: " + idOf(id) +
          "\r\nReq-Wait-Ms: " + std::to_string(waitMs) + "\r\nReq-Owner: acme\r\nReq-Cost: 100.0\r\n" + more +
          "Content-Length: " + std::to_string(statement.size()) + "\r\n\r\n" + statement;
@@ -601,7 +602,7 @@
 const std::string kToken = "Req-Token: 5c0f6e1a\r\n", kKey = "Req-Key: 7f3a9c21e0b4d655\r\n";
 
 // The next HTTP response: status and body; "none" if there is none.
-std::string answer(StubConnection& client) {
+[[maybe_unused]] std::string answer(StubConnection& client) {
   std::string head = client.until("\r\n\r\n");
   size_t length = head.find("Content-Length: ");
   if (length == std::string::npos)
