--- a/src/lab/baseline.h
+++ b/src/lab/baseline.h
@@ -9,9 +9,10 @@
 
 namespace elmcleat::lab {
 
-// One FIFO queue, served by the engine on which this gateway has the fewest threads, up to twice the gateway's part of
-// the engine's cores. With `sendsAtRandom`, each command is sent at once to a random engine in service. A command that
-// is at the head of the queue less than kShedMargin before its client stops waiting is shed.
+// One FIFO queue, served by the engine on which this gateway has the fewest threads, up to twice the
+// gateway's part of the engine's cores. With `sendsAtRandom`, each command is sent at once to a random engine
+// in service. A command that is at the head of the queue less than kShedMargin before its client stops
+// waiting is shed.
 class Baseline final : public Policy {
  public:
   static constexpr double kShedMargin = 0.1;       // seconds
--- a/src/lab/event_queue.h
+++ b/src/lab/event_queue.h
@@ -1,5 +1,5 @@
-// Event queue of the discrete-event simulations: a binary heap ordered by time; events of the same time run in the
-// order in which they were scheduled, so that runs are repeatable.
+// Event queue of the discrete-event simulations: a binary heap ordered by time; events of the same time run
+// in the order in which they were scheduled, so that runs are repeatable.
 #pragma once
 #include <algorithm>
 #include <cstdint>
--- a/src/lab/figures.cpp
+++ b/src/lab/figures.cpp
@@ -1,3 +1,4 @@
+// Figures of a run, computed from its record alone.
 #include <algorithm>
 #include <cmath>
 #include <set>
@@ -7,28 +8,35 @@
 namespace elmcleat::lab {
 namespace {
 
-// Shares of hits and the median error, of waits that came in a span.
+constexpr double kMinWait = 0.02;  // seconds; a shorter wait counts as none
+
+// Calibration of the wait predictions, for commands that arrived within [from, to): the shares of waits that
+// did not exceed the predicted median and 90th percentile, the median relative error, and the number of
+// waits.
 void waitFigures(const std::vector<WaitRecord>& waits, double from, double to, const std::string& name,
                  std::map<std::string, double>& figures) {
-  double half = 0, nine = 0;
+  double withinMedian = 0;
+  double withinP90 = 0;
   std::vector<double> errors;
   for (auto& wait : waits) {
-    if (wait.arrivedAt < from || wait.arrivedAt >= to || wait.measured <= 0.02)
-      continue;  // what was held at all
-    half += wait.measured <= wait.predictedMedian, nine += wait.measured <= wait.predictedP90;
+    if (wait.arrivedAt < from || wait.arrivedAt >= to || wait.measured <= kMinWait)
+      continue;
+    withinMedian += wait.measured <= wait.predictedMedian;
+    withinP90 += wait.measured <= wait.predictedP90;
     errors.push_back(std::abs(wait.measured - wait.predictedMedian) / wait.measured);
   }
   if (errors.empty())
     return;
-  figures[name + ".half"] = half / double(errors.size()),
-                 figures[name + ".nine"] = nine / double(errors.size());
+  figures[name + ".half"] = withinMedian / double(errors.size()),
+                 figures[name + ".nine"] = withinP90 / double(errors.size());
   std::ranges::nth_element(errors, errors.begin() + long(errors.size() / 2));
   figures[name + ".error"] = errors[errors.size() / 2];
   figures[name + ".count"] = double(errors.size());
 }
 
-// The ninety-ninth of a hundred and the greatest, over the mean.
-void spread(std::vector<double> values, const std::string& name, std::map<std::string, double>& figures) {
+// The 99th percentile and the maximum, relative to the mean.
+void spreadFigures(std::vector<double> values, const std::string& name,
+                   std::map<std::string, double>& figures) {
   double sum = 0;
   for (double value : values)
     sum += value;
@@ -40,21 +48,23 @@
   figures[name + ".most"] = values.back() / mean;
 }
 
-// How evenly engines were used, by how many gateways, and how far cold ones.
+// How evenly the engines were loaded, by how many gateways each was used, and how much of cold engines was
+// used.
 void engineFigures(const Scenario& scenario, const RunRecord& record,
                    std::map<std::string, double>& figures) {
   std::vector<double> work(size_t(scenario.fleet.engines));
   std::set<std::pair<uint32_t, uint32_t>> pairs;
-  for (auto& row : record.events) {
-    if (row.kind == RunEventKind::sent)
-      pairs.emplace(row.node, row.gateway);
-    if (row.kind == RunEventKind::started && row.time >= scenario.measuredFrom)
-      work[row.node] += record.commands[row.command].work;
+  for (auto& event : record.events) {
+    if (event.kind == RunEventKind::sent)
+      pairs.emplace(event.node, event.gateway);
+    if (event.kind == RunEventKind::started && event.time >= scenario.measuredFrom)
+      work[event.node] += record.commands[event.command].work;
   }
   std::vector<double> users(work.size());
   for (auto& [node, gateway] : pairs)
     ++users[node];
-  spread(work, "engines.work", figures), spread(record.threadsPerCore, "engines.threads", figures);
+  spreadFigures(work, "engines.work", figures),
+      spreadFigures(record.threadsPerCore, "engines.threads", figures);
   figures["engines.users"] = double(pairs.size()) / double(users.size());
   figures["engines.users.most"] = *std::ranges::max_element(users);
   figures["cold.fell"] = double(record.coldOverloads);
@@ -67,96 +77,112 @@
 std::map<std::string, double> computeFigures(const Scenario& scenario, const RunRecord& record) {
   std::map<std::string, double> figures;
   const auto& profiles = scenario.settings.profiles;
-  struct Part {
-    double asked = 0, earned = 0, work = 0, workAsked = 0;
+  struct Sums {
+    double offeredBenefit = 0;
+    double earnedBenefit = 0;
+    double completedWork = 0;
+    double offeredWork = 0;
   };
-  Part all;
-  std::vector<Part> teams(scenario.teams.size()), byProfile(profiles.size());
-  std::vector<double> best(record.commands.size(), 0);  // by first command: a client's tries count as one
+  Sums all;
+  std::vector<Sums> teams(scenario.teams.size());
+  std::vector<Sums> byProfile(profiles.size());
+  // Share of the benefit earned, by first try: a client's retries count as one command.
+  std::vector<double> bestShare(record.commands.size(), 0);
   std::vector<double> firstSent(record.commands.size(), -1);
-  double most = 0, sheds = 0;
-  std::vector<double> mostByTeam(teams.size());
-  for (auto& row : record.events) {
-    if (row.kind == RunEventKind::sent && firstSent[row.command] < 0) {
-      firstSent[row.command] = row.time;
-      most = std::max(most, row.time - record.commands[row.command].arrivedAt);
-      auto& its = mostByTeam[record.commands[row.command].team];
-      its = std::max(its, row.time - record.commands[row.command].arrivedAt);
+  double maxWait = 0;  // from arrival to the first send
+  double sheds = 0;
+  std::vector<double> maxWaitByTeam(teams.size());
+  for (auto& event : record.events) {
+    if (event.kind == RunEventKind::sent && firstSent[event.command] < 0) {
+      firstSent[event.command] = event.time;
+      maxWait = std::max(maxWait, event.time - record.commands[event.command].arrivedAt);
+      auto& teamMax = maxWaitByTeam[record.commands[event.command].team];
+      teamMax = std::max(teamMax, event.time - record.commands[event.command].arrivedAt);
     }
-    sheds += row.kind == RunEventKind::shed;
-    if (row.kind != RunEventKind::answered)
+    sheds += event.kind == RunEventKind::shed;
+    if (event.kind != RunEventKind::answered)
       continue;
-    const CommandRecord& asked = record.commands[row.command];
-    const CommandRecord& first = record.commands[asked.firstTry];
-    const Profile& profile = profiles[asked.profile];
-    double worth = row.time <= first.targetAt ? 1 : profile.lateBenefitShare;
-    best[asked.firstTry] = std::max(best[asked.firstTry], worth);
-    if (first.arrivedAt >= scenario.measuredFrom && first.timeoutAt <= scenario.duration)
-      teams[asked.team].work += asked.work;
+    const CommandRecord& command = record.commands[event.command];
+    const CommandRecord& firstTry = record.commands[command.firstTry];
+    const Profile& profile = profiles[command.profile];
+    double benefitShare = event.time <= firstTry.targetAt ? 1 : profile.lateBenefitShare;
+    bestShare[command.firstTry] = std::max(bestShare[command.firstTry], benefitShare);
+    if (firstTry.arrivedAt >= scenario.measuredFrom && firstTry.timeoutAt <= scenario.duration)
+      teams[command.team].completedWork += command.work;
   }
-  double longest = 0;  // only what could be over by the end counts
+  // Only commands whose client timeout ends within the run count.
+  double longest = 0;
   for (auto& profile : profiles)
     longest = std::max(longest, profile.clientTimeout);
   double end = scenario.duration - longest;
   for (size_t i = 0; i < record.commands.size(); ++i) {
-    const CommandRecord& asked = record.commands[i];
-    if (asked.firstTry != i || asked.arrivedAt < scenario.measuredFrom || asked.timeoutAt > scenario.duration)
+    const CommandRecord& command = record.commands[i];
+    if (command.firstTry != i || command.arrivedAt < scenario.measuredFrom ||
+        command.timeoutAt > scenario.duration)
       continue;
-    double benefit = profiles[asked.profile].benefit;
-    for (Part* part : {&all, &teams[asked.team], &byProfile[asked.profile]})
-      part->asked += benefit, part->earned += benefit * best[i], part->workAsked += asked.work;
+    double benefit = profiles[command.profile].benefit;
+    for (Sums* sums : {&all, &teams[command.team], &byProfile[command.profile]}) {
+      sums->offeredBenefit += benefit;
+      sums->earnedBenefit += benefit * bestShare[i];
+      sums->offeredWork += command.work;
+    }
   }
-  auto share = [](const Part& part) { return part.asked > 0 ? part.earned / part.asked : 1; };
+  auto share = [](const Sums& sums) {
+    return sums.offeredBenefit > 0 ? sums.earnedBenefit / sums.offeredBenefit : 1;
+  };
   figures["benefit"] = share(all);
   for (size_t i = 0; i < teams.size(); ++i) {
     figures["benefit." + scenario.teams[i].name] = share(teams[i]);
-    figures["held.most." + scenario.teams[i].name] = mostByTeam[i];
+    figures["held.most." + scenario.teams[i].name] = maxWaitByTeam[i];
     if (!scenario.budgets)
       continue;
-    for (auto& entry :
-         scenario.budgets->entries)  // of what it was guaranteed and asked for, the part that it got
+    // kept: completed work relative to the smaller of the guaranteed and the offered work
+    for (auto& entry : scenario.budgets->entries)
       if (entry.name == scenario.teams[i].name && entry.settings.guarantee.cores) {
-        double due =
-            std::min(*entry.settings.guarantee.cores * (end - scenario.measuredFrom), teams[i].workAsked);
-        figures["kept." + entry.name] = due > 0 ? std::min(1.0, teams[i].work / due) : 1;
+        double owed =
+            std::min(*entry.settings.guarantee.cores * (end - scenario.measuredFrom), teams[i].offeredWork);
+        figures["kept." + entry.name] = owed > 0 ? std::min(1.0, teams[i].completedWork / owed) : 1;
       }
   }
   for (size_t i = 0; i < byProfile.size(); ++i)
     figures["benefit.profile." + profiles[i].name] = share(byProfile[i]);
-  std::vector<double> lost(3 * teams.size());  // by team: shed, failed, late
-  for (auto& row : record.events) {
-    if (row.kind != RunEventKind::shed && row.kind != RunEventKind::failed &&
-        row.kind != RunEventKind::answered)
+  std::vector<double> lost(3 * teams.size());  // benefit, by team and cause: shed, failed, late
+  for (auto& event : record.events) {
+    if (event.kind != RunEventKind::shed && event.kind != RunEventKind::failed &&
+        event.kind != RunEventKind::answered)
       continue;
-    const CommandRecord& asked = record.commands[row.command];
-    if (asked.firstTry != row.command || asked.arrivedAt < scenario.measuredFrom ||
-        asked.timeoutAt > scenario.duration)
+    const CommandRecord& command = record.commands[event.command];
+    if (command.firstTry != event.command || command.arrivedAt < scenario.measuredFrom ||
+        command.timeoutAt > scenario.duration)
       continue;
-    bool late = row.kind == RunEventKind::answered && row.time > asked.targetAt;
-    size_t how = row.kind == RunEventKind::shed ? 0 : row.kind == RunEventKind::failed ? 1 : 2;
-    if (how < 2 || late)
-      lost[3 * asked.team + how] += profiles[asked.profile].benefit;
+    bool late = event.kind == RunEventKind::answered && event.time > command.targetAt;
+    size_t cause = event.kind == RunEventKind::shed ? 0 : event.kind == RunEventKind::failed ? 1 : 2;
+    if (cause < 2 || late)
+      lost[3 * command.team + cause] += profiles[command.profile].benefit;
   }
   for (size_t i = 0; i < teams.size(); ++i)
-    for (size_t how = 0; how < 3; ++how)  // benefit at stake in what was not answered in time, by cause
+    // cause: benefit of the commands that were not answered in time, by cause, relative to the offered
+    // benefit
+    for (size_t cause = 0; cause < 3; ++cause)
       figures["cause." + scenario.teams[i].name +
-              (how == 0   ? ".shed"
-               : how == 1 ? ".failed"
-                          : ".late")] = teams[i].asked > 0 ? lost[3 * i + how] / teams[i].asked : 0;
-  figures["held.most"] = most;
+              (cause == 0   ? ".shed"
+               : cause == 1 ? ".failed"
+                            : ".late")] =
+          teams[i].offeredBenefit > 0 ? lost[3 * i + cause] / teams[i].offeredBenefit : 0;
+  figures["held.most"] = maxWait;
   figures["shed"] = record.commands.empty() ? 0 : sheds / double(record.commands.size());
-  std::vector<WaitRecord> answered;
-  std::vector<bool> was(record.commands.size());
-  for (auto& row : record.events)
-    if (row.kind == RunEventKind::answered)
-      was[row.command] = true;
+  std::vector<WaitRecord> answeredWaits;
+  std::vector<bool> answered(record.commands.size());
+  for (auto& event : record.events)
+    if (event.kind == RunEventKind::answered)
+      answered[event.command] = true;
   for (auto& wait : record.waits)
-    if (was[wait.command])
-      answered.push_back(wait);
-  waitFigures(answered, scenario.measuredFrom, scenario.duration, "waits", figures);
+    if (answered[wait.command])
+      answeredWaits.push_back(wait);
+  waitFigures(answeredWaits, scenario.measuredFrom, scenario.duration, "waits", figures);
   for (auto& disturbance : scenario.disturbances)
     if (disturbance.kind == "slow")
-      waitFigures(answered, disturbance.start, disturbance.start + disturbance.duration, "waits.slow",
+      waitFigures(answeredWaits, disturbance.start, disturbance.start + disturbance.duration, "waits.slow",
                   figures);
   engineFigures(scenario, record, figures);
   figures["rules"] = double(findRuleViolations(scenario, record).size());
--- a/src/lab/http_response.h
+++ b/src/lab/http_response.h
@@ -6,8 +6,8 @@
 
 namespace elmcleat::lab {
 
-// Removes the first complete response from `bytes` and returns its status code, such as "200"; nothing while the
-// response is incomplete. Bodies need a Content-Length header.
+// Removes the first complete response from `bytes` and returns its status code, such as "200"; nothing while
+// the response is incomplete. Bodies need a Content-Length header.
 inline std::optional<std::string> takeResponseStatus(std::string& bytes) {
   size_t headEnd = bytes.find("\r\n\r\n");
   if (headEnd == std::string::npos)
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -10,7 +10,7 @@
 namespace elmcleat::lab {
 namespace {
 
-std::string bounds(const Verdict& verdict) {
+std::string formatBounds(const Verdict& verdict) {
   std::ostringstream text;
   if (verdict.minimum)
     text << "at least " << *verdict.minimum;
@@ -21,7 +21,7 @@
   return text.str();
 }
 
-// One plot by gnuplot; false where there is none.
+// Draws FOLDER/NAME.svg by gnuplot; false if gnuplot is missing or fails.
 bool plot(const std::string& folder, const std::string& name, const std::string& commands) {
   std::ofstream(folder + "/" + name + ".plot")
       << "set terminal svg size 900,320 background 'white'\nset output '" << folder << "/" << name
@@ -37,10 +37,13 @@
   for (auto& run : runs)
     for (auto& [name, value] : run.figures) {
       auto& [sum, count] = sums[(run.variant.empty() ? "" : run.variant + ":") + name];
-      if (name == "rules" || name.starts_with("held.most"))
-        sum = std::max(sum, value), count = 1;
-      else
-        sum += value, count += 1;
+      if (name == "rules" || name.starts_with("held.most")) {
+        sum = std::max(sum, value);
+        count = 1;
+      } else {
+        sum += value;
+        count += 1;
+      }
     }
   std::map<std::string, double> figures;
   for (auto& [name, sum] : sums)
@@ -100,7 +103,7 @@
   }
   for (auto& verdict : verdicts)
     output << (verdict.met ? "met     " : "NOT MET ") << verdict.figure << " is " << verdict.value
-           << ", expected " << bounds(verdict) << '\n';
+           << ", expected " << formatBounds(verdict) << '\n';
   for (auto& run : runs)
     for (auto& line : run.violations)
       output << "BROKEN  " << (run.variant.empty() ? "" : run.variant + ", ") << "seed " << run.seed << ": "
@@ -127,7 +130,7 @@
   for (auto& run : runs) {
     std::string name = run.variant.empty() ? "module" : run.variant;
     if (!drawn.insert(name).second)
-      continue;  // the first seed of each
+      continue;  // plots show the first seed of each variant only
     std::ofstream data(folder + "/" + name + ".dat");
     for (size_t t = 0; t + 1 < run.record.seconds.size(); ++t) {
       auto& second = run.record.seconds[t];
--- a/src/lab/report.h
+++ b/src/lab/report.h
@@ -24,8 +24,9 @@
   bool met = false;
 };
 
-// Means over seeds (maxima for `rules` and `held.most`), named as in computeFigures; `VARIANT:name` for the variants,
-// `lost.TEAM` for the benefit that the bursts cost, `gained` for the benefit that the engine subset brought.
+// Means over seeds (maxima for `rules` and `held.most`), named as in computeFigures; `VARIANT:name` for the
+// variants, `lost.TEAM` for the benefit that the bursts cost, `gained` for the benefit that the engine subset
+// brought.
 std::map<std::string, double> meanFigures(const Scenario& scenario, const std::vector<Run>& runs);
 std::vector<Verdict> checkExpectations(const Scenario& scenario,
                                        const std::map<std::string, double>& figures);
--- a/src/lab/run_record.h
+++ b/src/lab/run_record.h
@@ -1,5 +1,5 @@
-// Record of a run as seen from outside the gateways. Rule checks and figures use only this record, not the state of
-// the software under test.
+// Record of a run as seen from outside the gateways. Rule checks and figures use only this record, not the
+// state of the software under test.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -69,17 +69,17 @@
   std::vector<double> threadsPerCore;  // of each running engine, sampled every second
   double coldCoresUsed = 0;            // cores of cold engines in use, summed over the samples
   double coldCoresAvailable = 0;       // cores that cold engines had, summed over the samples
-  uint64_t coldOverloads = 0;          // cold engines that failed from overload
+  uint64_t coldOverloads = 0;          // engines that were overloaded while cold
   double wallSeconds = 0;
 };
 
 // Violations of the rules, one line each; at most 20.
 std::vector<std::string> findRuleViolations(const Scenario& scenario, const RunRecord& record);
 
-// Figures by name: benefit, benefit.TEAM, benefit.profile.NAME, kept.TEAM, cause.TEAM.shed|failed|late, waits.half,
-// waits.nine, waits.error, waits.count, the same of waits.slow, held.most, held.most.TEAM, shed, rules, faster;
-// engines.work.p99|most and engines.threads.p99|most (relative to their means), engines.users|users.most (gateways
-// that sent to one engine), cold.used, cold.fell.
+// Figures by name: benefit, benefit.TEAM, benefit.profile.NAME, kept.TEAM, cause.TEAM.shed|failed|late,
+// waits.half, waits.nine, waits.error, waits.count, the same of waits.slow, held.most, held.most.TEAM, shed,
+// rules, faster; engines.work.p99|most and engines.threads.p99|most (relative to their means),
+// engines.users|users.most (gateways that sent to one engine), cold.used, cold.fell.
 std::map<std::string, double> computeFigures(const Scenario& scenario, const RunRecord& record);
 
 }  // namespace elmcleat::lab
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -6,7 +6,7 @@
 namespace elmcleat::lab {
 namespace {
 
-Disturbance readTrouble(const Section& row) {
+Disturbance readDisturbance(const Section& row) {
   Disturbance disturbance;
   disturbance.kind = row.required<std::string>("kind");
   disturbance.start = row.required<double>("at"), disturbance.duration = row.get("lasts", 1e9);
@@ -75,7 +75,7 @@
     scenario.workByProfile.push_back(
         {row.get("work", 0.2), row.get("spread", 0.5), row.get("memoryMb", 0.0)});
   }
-  double all = 0;
+  double shares = 0;
   for (auto& row : file.items("teams")) {
     Team& team = scenario.teams.emplace_back();
     team.name = row.required<std::string>("name"), team.rate = row.get("rate", 10.0);
@@ -86,25 +86,25 @@
     if (team.mix.empty())
       for (auto& profile : set.profiles)
         team.mix.push_back({profile.name, 1});
-    all += row.get("share", team.rate);
+    shares += row.get("share", team.rate);
     set.tenants.push_back({team.name, row.get("share", team.rate), row.get("quota", 0.0)});
   }
   for (auto& tenant : set.tenants)
-    tenant.share /= all;
+    tenant.share /= shares;
   for (auto& row : file.items("troubles"))
-    scenario.disturbances.push_back(readTrouble(row));
+    scenario.disturbances.push_back(readDisturbance(row));
   if (file.has("budgets")) {
     scenario.budgets = readBudgetSettings(file.subsection("budgets")),
     scenario.budgetsJson = document["budgets"];
-    for (auto& fault : budget::validate(*scenario.budgets))
-      errors.push_back(path + ": budgets." + fault.key + ": " + fault.message);
+    for (auto& error : budget::validate(*scenario.budgets))
+      errors.push_back(path + ": budgets." + error.key + ": " + error.message);
   }
   if (file.has("shared") && scenario.budgets) {
     const Section section = file.subsection("shared");
-    auto terms = readLeaseSettings(section, f.gateways, *scenario.budgets);
-    for (auto& error : shared::validate(terms))
+    auto leases = readLeaseSettings(section, f.gateways, *scenario.budgets);
+    for (auto& error : shared::validate(leases))
       errors.push_back(path + ": shared." + error.key + ": " + error.message);
-    scenario.leases = terms;
+    scenario.leases = leases;
   }
   if (file.has("view")) {
     scenario.subset = readSubsetSettings(file.subsection("view"));
@@ -120,7 +120,7 @@
       expect.maximum = row.required<double>("most");
     scenario.expectations.push_back(expect);
   }
-  auto known = [&](const std::string& name) {
+  auto isProfile = [&](const std::string& name) {
     for (auto& profile : set.profiles)
       if (profile.name == name)
         return true;
@@ -128,7 +128,7 @@
   };
   for (size_t i = 0; i < scenario.teams.size(); ++i)
     for (auto& mix : scenario.teams[i].mix)
-      if (!known(mix.profile))
+      if (!isProfile(mix.profile))
         errors.push_back(path + ": teams[" + std::to_string(i) + "].mix: '" + mix.profile +
                          "' is no profile here");
   if (!errors.empty())
--- a/src/lab/scenario.h
+++ b/src/lab/scenario.h
@@ -1,5 +1,6 @@
-// A laboratory scenario: the fleet, its tenants and their traffic, the disturbances, and the expected figures.
-// Scenarios are JSON files (lab/scenarios/*.json); keys of the file are given where they differ from a member's name.
+// A laboratory scenario: the fleet, its tenants and their traffic, the disturbances, and the expected
+// figures. Scenarios are JSON files (lab/scenarios/*.json); keys of the file are given where they differ from
+// a member's name.
 #pragma once
 #include <map>
 #include <optional>
@@ -35,9 +36,10 @@
   int warmTableGroups = 4;               // table groups that an engine keeps in its cache
   double warmSavings = 0.2;              // share of the work that a cached table group saves
   bool loadReports = false;              // responses carry load reports; key "reports"
-  // A restarted engine begins with this share of its capacity, which rises linearly to 1 over coldDuration seconds.
-  // It fails if the work that it gets within coldOverloadWindow seconds exceeds coldOverloadFactor times its capacity
-  // (0: never). Keys "coldFrom", "coldTime", "fallMultiple", "fallTime".
+  // A restarted engine begins with this share of its capacity, which rises linearly to 1 over coldDuration
+  // seconds. It counts as overloaded while cold if the work that it gets within coldOverloadWindow seconds
+  // exceeds coldOverloadFactor times its capacity (0: never). Keys "coldFrom", "coldTime", "fallMultiple",
+  // "fallTime".
   double coldCapacity = 0.4;
   double coldDuration = 10;
   double coldOverloadFactor = 0;
--- a/src/lab/simulated_engine.h
+++ b/src/lab/simulated_engine.h
@@ -1,5 +1,6 @@
-// Model of an engine: a processor-sharing server with priorities, in which commands spill when memory runs short, cached
-// table groups save work, and a restarted engine warms up. Holds no clock: every call is given the time, in seconds.
+// Model of an engine: a processor-sharing server with priorities, in which commands spill when memory runs
+// short, cached table groups save work, and a restarted engine warms up. Holds no clock: every call is given
+// the time, in seconds.
 #pragma once
 #include <cstdint>
 #include <list>
--- a/src/lab/simulation.h
+++ b/src/lab/simulation.h
@@ -1,5 +1,6 @@
-// Discrete-event simulation of a scenario in virtual time: simulated engines, gateways with the real policy and budget
-// code, and clients, in one process without sockets. The same scenario, seed and variant give the same record.
+// Discrete-event simulation of a scenario in virtual time: simulated engines, gateways with the real policy
+// and budget code, and clients, in one process without sockets. The same scenario, seed and variant give the
+// same record.
 #pragma once
 #include "lab/run_record.h"
 
@@ -18,8 +19,8 @@
   bool subset = true;  // each gateway uses only its subset of the engines
 };
 
-// plain: no budgets; apart: budgets without leases; whole: every gateway uses all engines; calm: no bursts; random and
-// fifo: baselines, without budgets; any other name: everything on.
+// plain: no budgets; apart: budgets without leases; whole: every gateway uses all engines; calm: no bursts;
+// random and fifo: baselines, without budgets; any other name: everything on.
 Variant variantNamed(const std::string& name);
 
 RunRecord simulate(const Scenario& scenario, uint64_t seed, const Variant& variant);
--- a/src/lab/traffic.h
+++ b/src/lab/traffic.h
@@ -1,5 +1,5 @@
-// Network traffic in virtual time, of one member or of all: total bytes, and the peak rate over any 5 consecutive
-// whole seconds.
+// Network traffic in virtual time, of one member or of all: total bytes, and the peak rate over any 5
+// consecutive whole seconds.
 #pragma once
 #include <algorithm>
 #include <array>
--- a/src/tools/lab.cpp
+++ b/src/tools/lab.cpp
@@ -1,4 +1,5 @@
-// elmcleat-lab: plays scenarios, beside baselines, and says what came of it.
+// elmcleat-lab: runs scenarios, beside baselines, and reports their figures and violations; measures at
+// scale; fills the capacity page.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <chrono>
@@ -24,8 +25,8 @@
   uint64_t seed = 1, seeds = 1;
 };
 
-// Whether its rules held and its expectations were met.
-bool runOne(const std::string& path, const Options& options) {
+// Runs a scenario in all its variants; true if no rule was violated and all expectations were met.
+bool runScenario(const std::string& path, const Options& options) {
   Scenario scenario = readScenario(path);
   std::vector<std::string> variants{""};
   variants.insert(variants.end(), scenario.comparedVariants.begin(), scenario.comparedVariants.end());
@@ -37,7 +38,7 @@
     for (uint64_t seed = options.seed; seed < options.seed + options.seeds; ++seed) {
       Run run{name, seed, simulate(scenario, seed, variantNamed(name)), {}, {}};
       bool module = variantNamed(name).decider == Decider::module;
-      if (!options.program.empty() && module) {  // the same arrivals on sockets, beside virtual time
+      if (!options.program.empty() && module) {  // the same arrivals on sockets and in real time
         Run real{(name.empty() ? "" : name + "-") + std::string("sockets"),
                  seed,
                  runOnSockets(scenario, run.record, variantNamed(name), options.program),
@@ -50,7 +51,7 @@
       run.figures = computeFigures(scenario, run.record);
       bool baseline = name == "random" || name == "fifo";
       if (!baseline)
-        run.violations = findRuleViolations(scenario, run.record);  // baselines promise nothing
+        run.violations = findRuleViolations(scenario, run.record);  // the rules do not apply to baselines
       if (seed > options.seed)
         run.record = {};
       runs.push_back(std::move(run));
@@ -63,48 +64,51 @@
     writeReport(folder, scenario, runs, figures, verdicts);
     std::cout << "report: " << folder << "/report.html\n";
   }
-  bool sound = std::ranges::all_of(verdicts, &Verdict::met);
+  bool passed = std::ranges::all_of(verdicts, &Verdict::met);
   for (auto& run : runs)
-    sound &= run.violations.empty();
-  return sound;
+    passed &= run.violations.empty();
+  return passed;
 }
 
-// Membership at size; the file is written after each run, so that one that is stopped has told what it had.
+// Measures membership at several sizes. The figures file is written after each run, so that a measurement
+// that is stopped keeps what it has.
 struct MembersOptions {
   std::string plan, json, with, conditions;
   std::vector<int> sizes;
   int threads = 2;
 };
 bool runMembers(const MembersOptions& options) {
-  bool sound = true;
+  bool passed = true;
   MembersPlan plan = readMembersPlan(options.plan);
   if (!options.sizes.empty())
     for (auto& scene : plan.scenes)
       std::erase_if(scene.sizes, [&](int size) { return !std::ranges::count(options.sizes, size); });
-  FiguresFile earlier;  // read before anything is played: a faulty one must not cost a run
+  FiguresFile earlier;  // read first, so that an invalid file costs no run
   if (!options.with.empty())
     earlier = readFigures(options.with);
   auto whole = [&](FiguresFile file) {
-    file.plan = readJson(options.plan), file.machine["conditions"] = options.conditions;
+    file.plan = readJson(options.plan);
+    file.machine["conditions"] = options.conditions;
     if (options.with.empty())
       return file;
-    addEarlier(file, earlier), file.machine["earlier"] = earlier.machine;
+    addEarlier(file, earlier);
+    file.machine["earlier"] = earlier.machine;
     return file;
   };
   auto began = std::chrono::steady_clock::now();
   FiguresFile file =
-      runMembersScale(plan, options.threads, [&](const FiguresFile& sofar, const std::string& line) {
+      runMembersScale(plan, options.threads, [&](const FiguresFile& soFar, const std::string& line) {
         std::chrono::duration<double> took = std::chrono::steady_clock::now() - began;
         std::cerr << long(took.count()) << " s: " << line << '\n';
         if (!options.json.empty())
-          writeFigures(options.json, whole(sofar));
-        sound &= std::ranges::none_of(sofar.missing, [](auto& one) { return one.figure == "members"; });
+          writeFigures(options.json, whole(soFar));
+        passed &= std::ranges::none_of(soFar.missing, [](auto& one) { return one.figure == "members"; });
       });
   std::cout << tableOf({whole(file)}, {""});
-  return sound;
+  return passed;
 }
 
-// Whether all was taken, and as the plan expects it.
+// Measures real dispatchers at scale; true if all figures were measured and meet the plan's expectations.
 bool scale(const std::string& path, const std::string& program, const std::string& json) {
   ScalePlan plan = readScalePlan(path);
   FiguresFile file = runScale(plan, program);
@@ -117,7 +121,7 @@
   return lines.empty() && file.missing.empty();
 }
 
-// Whether the page stands as the figures have it; `write`: it does then.
+// Checks that the capacity page agrees with the figures, or with `write` fills it from them.
 bool capacity(const std::string& path, const std::vector<std::string>& names, bool write) {
   std::vector<FiguresFile> files;
   for (auto& name : names)
@@ -135,7 +139,7 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   CLI::App app(
       "elmcleat-lab: plays scenarios, and runs at size; status 1 if a rule broke or an expectation failed");
   Options options;
@@ -178,23 +182,23 @@
       paging->add_flag("--check", check, "status 1 and the first line that differs (the default)");
   paging->add_flag("--write", write, "fill it anew")->excludes(checking);
   app.require_subcommand(1, 1);
-  CLI11_PARSE(app, count, words);
-  bool sound = true;
+  CLI11_PARSE(app, count, arguments);
+  bool passed = true;
   if (!run->parsed())
     try {
       if (members->parsed())
         return runMembers(membersOptions) ? 0 : 1;
       return (scaling->parsed() ? scale(plan, program, json) : capacity(page, figures, write)) ? 0 : 1;
-    } catch (const std::exception& fault) {
-      std::cerr << fault.what() << '\n';
+    } catch (const std::exception& error) {
+      std::cerr << error.what() << '\n';
       return 1;
     }
   for (auto& file : options.files)
     try {
-      sound &= runOne(file, options);
-    } catch (const std::exception& fault) {
-      std::cerr << fault.what() << '\n';
-      sound = false;
+      passed &= runScenario(file, options);
+    } catch (const std::exception& error) {
+      std::cerr << error.what() << '\n';
+      passed = false;
     }
-  return sound ? 0 : 1;
+  return passed ? 0 : 1;
 }
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -1,4 +1,4 @@
-// The laboratory: its engine model, its checkers (which must be able to find something), its repeatability.
+// The laboratory: the engine model, the rule checks (which have to find violations) and repeatability.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -12,12 +12,13 @@
 
 namespace {
 
-Scenario small(const std::string& file = "budget-burst") {
+Scenario shortScenario(const std::string& file = "budget-burst") {
   Scenario scenario = readScenario(std::string(SCENARIOS) + file + ".json");
   scenario.duration = 25;
   return scenario;
 }
-Scenario one() {  // a team, a non-replayable profile
+// One team and one non-replayable profile.
+Scenario minimalScenario() {
   Scenario scenario;
   Profile load;
   load.name = "load", load.retrySafety = RetrySafety::nonReplayable, load.clientTimeout = 5;
@@ -25,7 +26,8 @@
   scenario.settings.maxSends = 3, scenario.duration = 100;
   return scenario;
 }
-RunRecord with(std::vector<RunEvent> rows) {
+// A record of one command, submitted at 1 s, with these events.
+RunRecord recordOf(std::vector<RunEvent> rows) {
   RunRecord record;
   record.commands.push_back({0, 0, 0, 1, 0.1, 2, 6, 0, 0});
   rows.insert(rows.begin(), {1, RunEventKind::submitted, 0, 0, 0});
@@ -40,18 +42,18 @@
   fleet.hardware.cores = 4, fleet.throughputLossPerThread = 0, fleet.warmSavings = 0;
   SimulatedEngine engine(fleet);
   engine.startSend(0, {1, 2, 2, 0, 1, 1, 0}, 1);
-  CHECK_EQ(*engine.nextCompletion(), doctest::Approx(2));  // alone, on its one thread
+  CHECK_EQ(*engine.nextCompletion(), doctest::Approx(2));  // one thread uses one core
   for (uint64_t i = 2; i <= 8; ++i)
     engine.startSend(0, {i, 2, 2, 0, 1, 1, 0}, i);
-  CHECK_EQ(*engine.nextCompletion(), doctest::Approx(4));  // eight on four cores
+  CHECK_EQ(*engine.nextCompletion(), doctest::Approx(4));  // eight sends share four cores
   engine.setPriority(0, 1, 3);
-  CHECK_EQ(*engine.nextCompletion(), doctest::Approx(2));  // a core of its own again
+  CHECK_EQ(*engine.nextCompletion(), doctest::Approx(2));  // its priority gives it a whole core again
   auto over = engine.takeFinished(2);
   REQUIRE_EQ(over.size(), 1);
   CHECK_EQ(over[0].send, 1);
   engine.cancelSend(2, 2), engine.cancelSend(2, 3), engine.cancelSend(2, 4);
   CHECK_EQ(*engine.nextCompletion(),
-           doctest::Approx(2 + 2 - 3.0 / 7 * 2));  // the four that are left: a core each
+           doctest::Approx(2 + 2 - 3.0 / 7 * 2));  // one core each for the remaining four
   CHECK_EQ(engine.stop(3).size(), 4);
   CHECK_FALSE(engine.startSend(3, {9, 1, 1, 0, 1, 1, 0}, 1));
 }
@@ -61,7 +63,7 @@
   fleet.hardware.cores = 4, fleet.hardware.memoryMb = 100, fleet.spillCost = 1.5, fleet.warmSavings = 0.5;
   SimulatedEngine engine(fleet);
   engine.startSend(0, {1, 1, 1, 150, 1, 1, 0}, 7);
-  CHECK_EQ(*engine.nextCompletion(), doctest::Approx(1.5));  // a third of it missing
+  CHECK_EQ(*engine.nextCompletion(), doctest::Approx(1.5));  // a third of the memory is missing
   engine.cancelSend(0, 1);
   engine.startSend(0, {2, 1, 1, 10, 1, 1, 0}, 7);
   CHECK_EQ(*engine.nextCompletion(), doctest::Approx(0.5));
@@ -69,7 +71,7 @@
   fleet.coldOverloadWindow = 1;
   SimulatedEngine cold(fleet);
   cold.start(0, true);
-  cold.startSend(0, {1, 2, 2, 0, 1, 1, 0}, 1);  // twice its one core
+  cold.startSend(0, {1, 2, 2, 0, 1, 1, 0}, 1);  // twice the one core that it has while cold
   CHECK_FALSE(cold.overloadedWhileCold);
   cold.startSend(0.1, {2, 1, 1, 0, 1, 1, 0}, 2);
   CHECK(cold.overloadedWhileCold);
@@ -77,7 +79,7 @@
 
 TEST_CASE("checkers find what breaks a rule, and pass what does not") {
   auto broken = [](std::vector<RunEvent> rows) {
-    auto lines = findRuleViolations(one(), with(std::move(rows)));
+    auto lines = findRuleViolations(minimalScenario(), recordOf(std::move(rows)));
     return lines.empty() ? std::string() : lines[0].substr(0, 6);
   };
   RunEvent sent{1, RunEventKind::sent, 0, 1, 0}, ran{1.1, RunEventKind::started, 0, 1, 0},
@@ -85,11 +87,11 @@
   RunEvent answered{2, RunEventKind::answered, 0, 1, 0}, shed{2, RunEventKind::shed, 0, 1, 0},
       failed{2, RunEventKind::failed, 0, 1, 0};
   CHECK_EQ(broken({sent, ran, over, answered}), "");
-  CHECK_EQ(broken({sent, over, sent, ran, over, answered}), "");  // the first never ran
+  CHECK_EQ(broken({sent, over, sent, ran, over, answered}), "");  // the first send never started
   CHECK_EQ(broken({}), "rule 1");                                 // no answer
   CHECK_EQ(broken({sent, ran, over, answered, answered}), "rule 1");
   CHECK_EQ(broken({answered, sent}), "rule 1");
-  CHECK_EQ(broken({{6.2, RunEventKind::failed, 0, 1, 0}}), "rule 1");  // after its client's end
+  CHECK_EQ(broken({{6.2, RunEventKind::failed, 0, 1, 0}}), "rule 1");  // after the client timeout
   CHECK_EQ(broken({sent, sent, over, over, failed}), "rule 2");
   CHECK_EQ(broken({sent, ran, over, sent, over, failed}), "rule 2");
   CHECK_EQ(broken({sent, ran, over, shed}), "rule 2");
@@ -100,13 +102,13 @@
           {{0.5, RunEventKind::drained, 0, 1, 0}, {0.6, RunEventKind::listed, 0, 1, 0}, sent, over, failed}),
       "");
   CHECK_EQ(broken({sent, over, sent, over, sent, over, sent, over, failed}), "rule 7");
-  auto record = with({answered});
+  auto record = recordOf({answered});
   record.coldOverloads = 1;
-  CHECK_EQ(findRuleViolations(one(), record).at(0).substr(0, 6), "rule 4");
+  CHECK_EQ(findRuleViolations(minimalScenario(), record).at(0).substr(0, 6), "rule 4");
 }
 
 TEST_CASE("the same scenario and seed give the same record, and the baselines another one") {
-  auto scenario = small();
+  auto scenario = shortScenario();
   auto first = simulate(scenario, 3, variantNamed("")), again = simulate(scenario, 3, variantNamed(""));
   REQUIRE_EQ(first.events.size(), again.events.size());
   bool same = true;
@@ -124,7 +126,7 @@
 }
 
 TEST_CASE("drains, lost, silent, failing and slow engines: rules hold, and each costs something") {
-  auto scenario = small();
+  auto scenario = shortScenario();
   scenario.disturbances.clear();
   double calm = computeFigures(scenario, simulate(scenario, 1, variantNamed("")))["benefit"];
   for (auto kind : {"drain", "lose", "silent", "failing", "slow"}) {
