--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -1,3 +1,4 @@
+// Stand-in engines, change log and clients around real dispatcher processes; see sockets.h.
 #include "lab/sockets.h"
 
 #include <arpa/inet.h>
@@ -26,27 +27,33 @@
 namespace {
 
 constexpr uint16_t kPort = 4100;
-constexpr double kUp = 10;  // seconds in which a dispatcher must be up
-constexpr size_t kMost = 1 << 20;
+constexpr double kStartTimeout = 10;  // seconds until a dispatcher accepts connections
+constexpr size_t kMaxBufferBytes = 1 << 20;
 
-Address addressOf(uint32_t part, uint32_t number) {  // of our own on loopback: each run has another one
+// A loopback address for one server of this run. The process id is part of it, so that runs side by side do
+// not collide. `part`: 1 engines, 2 change log, 3 dispatchers.
+Address addressOf(uint32_t part, uint32_t number) {
   return {0x7f000000u | (static_cast<uint32_t>(getpid()) % 0x7fffu + 0x100u) << 8 | (part << 6 | number),
           kPort};
 }
 
-// One end of a connection: what comes goes to `heard`, its end to `over`, once.
+// One end of a connection: calls `received` with the input, and `closed` once when the connection ends.
 class Peer {
  public:
-  explicit Peer(Scheduler& scheduler) : signal_(scheduler), stream(scheduler, signal_, kMost, kMost) {}
+  explicit Peer(Scheduler& scheduler)
+      : signal_(scheduler), stream(scheduler, signal_, kMaxBufferBytes, kMaxBufferBytes) {}
   void start() { task_ = run(), task_.start(); }
-  void say(std::string bytes) {
+  void send(std::string bytes) {
     if (!stream.isOpen())
       return;
     stream.write(std::move(bytes)), stream.flush();
   }
-  void close() { stream.close(CloseReason::idle), signal_.raise(); }
-  std::function<void(std::string&)> heard;
-  std::function<void()> over;
+  void close() {
+    stream.close(CloseReason::idle);
+    signal_.raise();
+  }
+  std::function<void(std::string&)> received;
+  std::function<void()> closed;
 
  private:
   Signal signal_;
@@ -60,20 +67,21 @@
       stream.isConnected();
       stream.receive(true);
       if (!stream.input().empty())
-        heard(stream.input());
+        received(stream.input());
       stream.flush();
       if (stream.isOpen())
         co_await signal_;
     }
-    if (over)
-      over();
+    if (closed)
+      closed();
   }
   Task task_;
 };
 
-class Listening {
+// Accepts connections and passes each file descriptor on.
+class Listener {
  public:
-  Listening(Scheduler& scheduler, const Address& address, std::function<void(int)> accepted)
+  Listener(Scheduler& scheduler, const Address& address, std::function<void(int)> accepted)
       : signal_(scheduler), listener_(scheduler, listenOn(address), signal_), accepted_(std::move(accepted)) {
     task_ = run(), task_.start();
   }
@@ -92,15 +100,17 @@
   Task task_;
 };
 
-class Day {
+// One run: owns the dispatcher processes, the stand-in servers, the clients and the record.
+class SocketRun {
  public:
-  Day(const Scenario& scenario, const RunRecord& virtualRun, const Variant& variant, std::string program)
+  SocketRun(const Scenario& scenario, const RunRecord& virtualRun, const Variant& variant,
+            std::string program)
       : scenario_(scenario),
-        source_(virtualRun),
+        virtualRun_(virtualRun),
         variant_(variant),
         program_(std::move(program)),
         scheduler_(clock_) {}
-  ~Day() {
+  ~SocketRun() {
     for (pid_t pid : processes_)
       ::kill(pid, SIGKILL), waitpid(pid, nullptr, 0);
     std::filesystem::remove_all(folder_);
@@ -114,36 +124,38 @@
     char name[] = "/tmp/elmcleat-lab-XXXXXX";
     folder_ = mkdtemp(name);
     record_.seconds.resize(size_t(scenario_.duration) + 2);
-    for (auto& second : record_.seconds)
-      second.offeredBenefit.resize(scenario_.teams.size()),
-          second.earnedBenefit = second.completedWork = second.offeredBenefit;
-    changeLog_ = std::make_unique<Listening>(scheduler_, addressOf(2, 1), [this](int fd) { follow(fd); });
+    for (auto& second : record_.seconds) {
+      second.offeredBenefit.resize(scenario_.teams.size());
+      second.earnedBenefit = second.completedWork = second.offeredBenefit;
+    }
+    changeLog_ =
+        std::make_unique<Listener>(scheduler_, addressOf(2, 1), [this](int fd) { acceptFollower(fd); });
     for (uint32_t i = 0; i < uint32_t(scenario_.fleet.engines); ++i) {
-      auto& machine = *machines_.emplace_back(std::make_unique<Machine>(scenario_.fleet));
-      machine.listening =
-          std::make_unique<Listening>(scheduler_, addressOf(1, i), [this, i](int fd) { serve(i, fd); });
-      machine.timer = std::make_unique<Timer>(scheduler_, [this, i] { finish(i); });
+      auto& engine = *engines_.emplace_back(std::make_unique<StandInEngine>(scenario_.fleet));
+      engine.listener = std::make_unique<Listener>(scheduler_, addressOf(1, i),
+                                                   [this, i](int fd) { acceptDispatcher(i, fd); });
+      engine.timer = std::make_unique<Timer>(scheduler_, [this, i] { completeCommands(i); });
     }
     for (uint32_t i = 0; i < uint32_t(scenario_.fleet.gateways); ++i)
-      start(i);
+      startDispatcher(i);
     waitUntilUp();
-    began_ = scheduler_.now() + 0.2;
-    for (auto& asked : source_.commands)
-      if (asked.firstTry == size_t(&asked - source_.commands.data()))
-        order_.push_back(asked.firstTry);
-    record_.commands.resize(source_.commands.size(),
-                            CommandRecord{~uint64_t{0}, 0, 0, 0, 0, 0, HUGE_VAL, 0, 0});  // not asked yet
-    next_ = std::make_unique<Timer>(scheduler_, [this] { ask(); });
-    next_->set(began_);
+    startTime_ = scheduler_.now() + 0.2;
+    for (auto& record : virtualRun_.commands)
+      if (record.firstTry == size_t(&record - virtualRun_.commands.data()))
+        arrivalOrder_.push_back(record.firstTry);
+    record_.commands.resize(virtualRun_.commands.size(),
+                            CommandRecord{~uint64_t{0}, 0, 0, 0, 0, 0, HUGE_VAL, 0, 0});  // not submitted yet
+    arrivalTimer_ = std::make_unique<Timer>(scheduler_, [this] { submitDue(); });
+    arrivalTimer_->set(startTime_);
     std::vector<std::unique_ptr<Timer>> timers;
     auto later = [&](double at, std::function<void()> act) {
       timers.push_back(std::make_unique<Timer>(scheduler_, std::move(act)));
-      timers.back()->set(began_ + at);
+      timers.back()->set(startTime_ + at);
     };
     for (auto& disturbance : scenario_.disturbances)
       if (disturbance.kind == "slow") {
-        later(disturbance.start, [&] { slow(disturbance, disturbance.factor); });
-        later(disturbance.start + disturbance.duration, [&] { slow(disturbance, 1); });
+        later(disturbance.start, [&] { setSlowdown(disturbance, disturbance.factor); });
+        later(disturbance.start + disturbance.duration, [&] { setSlowdown(disturbance, 1); });
       }
     later(scenario_.duration, [this] { scheduler_.stop(); });
     scheduler_.run();
@@ -152,32 +164,32 @@
   }
 
  private:
-  struct Machine {
-    explicit Machine(const Fleet& fleet) : model(fleet) {}
+  struct StandInEngine {
+    explicit StandInEngine(const Fleet& fleet) : model(fleet) {}
     SimulatedEngine model;
-    std::unique_ptr<Listening> listening;
+    std::unique_ptr<Listener> listener;
     std::unique_ptr<Timer> timer;
     std::unordered_map<uint64_t, std::pair<Peer*, uint32_t>>
-        open;  // by command: who asked, and which gateway
+        open;  // by command: the connection that sent it, and the gateway
   };
   struct Client {
     explicit Client(Scheduler& scheduler) : peer(scheduler) {}
     Peer peer;
-    uint32_t gate = 0;
+    uint32_t gateway = 0;
     std::optional<uint64_t> command;
     std::unique_ptr<Timer> limit;
   };
 
-  double now() const { return scheduler_.now() - began_; }
-  void mark(RunEventKind what, uint32_t gate, uint64_t command, uint32_t node = 0) {
-    record_.events.push_back({now(), what, gate, node, command});
+  double now() const { return scheduler_.now() - startTime_; }
+  void recordEvent(RunEventKind what, uint32_t gateway, uint64_t command, uint32_t node = 0) {
+    record_.events.push_back({now(), what, gateway, node, command});
   }
 
-  // --- dispatchers
-  void start(uint32_t gate) {
-    std::string base = folder_ + "/" + std::to_string(gate);
+  // --- Dispatchers
+  void startDispatcher(uint32_t gateway) {
+    std::string base = folder_ + "/" + std::to_string(gateway);
     Json hosts = Json::array(), classes = Json::array(), accounts = Json::array(), threads = Json::array();
-    for (uint32_t i = 0; i < machines_.size(); ++i) {
+    for (uint32_t i = 0; i < engines_.size(); ++i) {
       char id[16];
       std::snprintf(id, sizeof id, "s-%08x", i + 1);
       hosts.push_back({{"host", id},
@@ -201,8 +213,8 @@
     for (auto& tenant : scenario_.settings.tenants)
       accounts.push_back({{"name", tenant.name}, {"fraction", tenant.share}});
     Json config{
-        {"name", "lab" + std::to_string(gate)},
-        {"listen", formatAddress(addressOf(3, gate))},
+        {"name", "lab" + std::to_string(gateway)},
+        {"listen", formatAddress(addressOf(3, gateway))},
         {"seed", "8c1f30d27a5be964"},
         {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 4096}}},
         {"changelog", formatAddress(addressOf(2, 1))},
@@ -232,9 +244,11 @@
     if (pid == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);
       int log = open((base + ".log").c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
-      dup2(log, 2), dup2(log, 1);
+      dup2(log, 2);
+      dup2(log, 1);
       setenv("PROXY_CONFIG", (base + ".json").c_str(), 1);
-      unsetenv("PROXY_LISTEN"), unsetenv("PROXY_NAME");
+      unsetenv("PROXY_LISTEN");
+      unsetenv("PROXY_NAME");
       std::string own = base + ".gateway.json";
       if (budgets)
         execl(program_.c_str(), program_.c_str(), "--gateway", own.c_str(), nullptr);
@@ -244,12 +258,15 @@
     }
     processes_.push_back(pid);
   }
+  // Polls until every dispatcher accepts connections.
   void waitUntilUp() const {
-    for (uint32_t gate = 0; gate < processes_.size(); ++gate)
-      for (double end = scheduler_.now() + kUp;; usleep(5000)) {
-        Address at = addressOf(3, gate);
+    for (uint32_t gateway = 0; gateway < processes_.size(); ++gateway)
+      for (double end = scheduler_.now() + kStartTimeout;; usleep(5000)) {
+        Address at = addressOf(3, gateway);
         sockaddr_in to{};
-        to.sin_family = AF_INET, to.sin_port = htons(at.port), to.sin_addr.s_addr = htonl(at.host);
+        to.sin_family = AF_INET;
+        to.sin_port = htons(at.port);
+        to.sin_addr.s_addr = htonl(at.host);
         int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         bool up = connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0;
         ::close(fd);
@@ -258,46 +275,47 @@
         if (scheduler_.now() < end)
           continue;
         std::stringstream log;
-        log << std::ifstream(folder_ + "/" + std::to_string(gate) + ".log").rdbuf();
+        log << std::ifstream(folder_ + "/" + std::to_string(gateway) + ".log").rdbuf();
         throw ValidationErrors(
-            {program_ + ": is not up after " + std::to_string(int(kUp)) + " s: " + log.str()});
+            {program_ + ": is not up after " + std::to_string(int(kStartTimeout)) + " s: " + log.str()});
       }
   }
 
-  // --- the change log: nothing new, each second
-  void follow(int fd) {
+  // --- Change log: sends an empty heartbeat frame every second
+  void acceptFollower(int fd) {
     auto& peer = *followers_.emplace_back(std::make_unique<Peer>(scheduler_));
-    peer.heard = [](std::string& bytes) { bytes.clear(); };
+    peer.received = [](std::string& bytes) { bytes.clear(); };
     peer.stream.adopt(fd);
     peer.start();
-    beat();
+    sendHeartbeat();
   }
-  void beat() {
+  void sendHeartbeat() {
     static const std::string frame("\0\0\0\x09\0\0\0\0\0\0\0\x01\0", 13);
     for (auto& peer : followers_)
-      peer->say(frame);
-    if (!beat_)
-      beat_ = std::make_unique<Timer>(scheduler_, [this] { beat(); });
-    beat_->set(scheduler_.now() + 1);
+      peer->send(frame);
+    if (!heartbeatTimer_)
+      heartbeatTimer_ = std::make_unique<Timer>(scheduler_, [this] { sendHeartbeat(); });
+    heartbeatTimer_->set(scheduler_.now() + 1);
   }
 
-  // --- engines
-  void serve(uint32_t node, int fd) {
-    auto& peer = *links_.emplace_back(std::make_unique<Peer>(scheduler_));
+  // --- Engines
+  void acceptDispatcher(uint32_t node, int fd) {
+    auto& peer = *dispatcherConnections_.emplace_back(std::make_unique<Peer>(scheduler_));
     Peer* from = &peer;
-    peer.heard = [this, node, from](std::string& bytes) { heed(node, *from, bytes); };
-    peer.over = [this, node, from] {  // gives up everything open on it
+    peer.received = [this, node, from](std::string& bytes) { parseLines(node, *from, bytes); };
+    peer.closed = [this, node, from] {  // cancels everything that is open on the connection
       std::vector<uint64_t> gone;
-      for (auto& [command, who] : machines_[node]->open)
+      for (auto& [command, who] : engines_[node]->open)
         if (who.first == from)
           gone.push_back(command);
       for (uint64_t command : gone)
-        drop(node, command);
+        cancelCommand(node, command);
     };
     peer.stream.adopt(fd);
     peer.start();
   }
-  void heed(uint32_t node, Peer& from, std::string& bytes) {
+  // Parses the lines of the engine protocol.
+  void parseLines(uint32_t node, Peer& from, std::string& bytes) {
     while (true) {
       size_t end = bytes.find("\r\n");
       if (end == std::string::npos)
@@ -311,100 +329,107 @@
         if (bytes.size() < end + 2 + length + 2)
           return;
         bytes.erase(0, end + 2 + length + 2);
-        begin(node, from, id, fields);
+        startCommand(node, from, id, fields);
         continue;
       }
       bytes.erase(0, end + 2);
       uint64_t command = std::strtoull(id.c_str(), nullptr, 16);
       int priority = 1;
       if (verb == "DROP")
-        drop(node, command);
-      else if (verb == "RANK" && words >> priority)
-        machines_[node]->model.setPriority(scheduler_.now(), command, priority), aim(node);
-      else if (verb == "PING" || verb == "LOAD")
-        from.say(id + " PONG - 0\r\n\r\n");
+        cancelCommand(node, command);
+      else if (verb == "RANK" && words >> priority) {
+        engines_[node]->model.setPriority(scheduler_.now(), command, priority);
+        scheduleCompletion(node);
+      } else if (verb == "PING" || verb == "LOAD")
+        from.send(id + " PONG - 0\r\n\r\n");
     }
   }
-  void begin(uint32_t node, Peer& from, const std::string& id, const std::string& fields) {
+  void startCommand(uint32_t node, Peer& from, const std::string& id, const std::string& fields) {
     uint64_t command = std::strtoull(id.c_str(), nullptr, 16);
     if (command >= record_.commands.size())
       return;
-    const CommandRecord& asked = record_.commands[command];
+    const CommandRecord& record = record_.commands[command];
     int priority = 1;
     if (auto at = fields.find("weight="); at != std::string::npos)
       priority = fields[at + 7] - '0';
-    uint32_t gate = asked.gateway;
-    mark(RunEventKind::sent, gate, command, node), mark(RunEventKind::started, gate, command, node);
-    machines_[node]->open[command] = {&from, gate};
-    machines_[node]->model.startSend(
+    uint32_t gateway = record.gateway;
+    recordEvent(RunEventKind::sent, gateway, command, node);
+    recordEvent(RunEventKind::started, gateway, command, node);
+    engines_[node]->open[command] = {&from, gateway};
+    engines_[node]->model.startSend(
         scheduler_.now(),
-        {command, asked.work, asked.work, scenario_.workByProfile[asked.profile].memoryMb,
-         scenario_.settings.profiles[asked.profile].threads, priority, 0},
-        asked.firstTry % 64);
-    aim(node);
+        {command, record.work, record.work, scenario_.workByProfile[record.profile].memoryMb,
+         scenario_.settings.profiles[record.profile].threads, priority, 0},
+        record.firstTry % 64);
+    scheduleCompletion(node);
   }
-  void aim(uint32_t node) {
-    if (auto at = machines_[node]->model.nextCompletion())
-      machines_[node]->timer->set(*at);
+  // Sets the timer to the engine's next completion.
+  void scheduleCompletion(uint32_t node) {
+    if (auto at = engines_[node]->model.nextCompletion())
+      engines_[node]->timer->set(*at);
     else
-      machines_[node]->timer->clear();
+      engines_[node]->timer->clear();
   }
-  void finish(uint32_t node) {
-    for (auto& one : machines_[node]->model.takeFinished(scheduler_.now())) {
-      auto who = machines_[node]->open.extract(one.send);
+  void completeCommands(uint32_t node) {
+    for (auto& one : engines_[node]->model.takeFinished(scheduler_.now())) {
+      auto who = engines_[node]->open.extract(one.send);
       if (who.empty())
         continue;
-      mark(RunEventKind::sendFinished, who.mapped().second, one.send, node);
+      recordEvent(RunEventKind::sendFinished, who.mapped().second, one.send, node);
       char head[96];
       int size = std::snprintf(head, sizeof head, "%016llx HIT fetches=1,effort=%.3f 6\r\n",
                                static_cast<unsigned long long>(one.send), one.work * 1e3);
-      who.mapped().first->say(std::string(head, size_t(size)) + "a\tb\tc\n\r\n");
+      who.mapped().first->send(std::string(head, size_t(size)) + "a\tb\tc\n\r\n");
     }
-    aim(node);
+    scheduleCompletion(node);
   }
-  void drop(uint32_t node, uint64_t command) {
-    auto who = machines_[node]->open.extract(command);
+  void cancelCommand(uint32_t node, uint64_t command) {
+    auto who = engines_[node]->open.extract(command);
     if (who.empty())
       return;
-    mark(RunEventKind::sendFinished, who.mapped().second, command, node);
-    machines_[node]->model.cancelSend(scheduler_.now(), command);
-    aim(node);
+    recordEvent(RunEventKind::sendFinished, who.mapped().second, command, node);
+    engines_[node]->model.cancelSend(scheduler_.now(), command);
+    scheduleCompletion(node);
   }
-  void slow(const Disturbance& disturbance, double times) {
-    for (uint32_t node = 0; node < uint32_t(std::ceil(double(machines_.size()) * disturbance.engineShare));
+  void setSlowdown(const Disturbance& disturbance, double times) {
+    for (uint32_t node = 0; node < uint32_t(std::ceil(double(engines_.size()) * disturbance.engineShare));
          ++node)
-      machines_[node]->model.setSlowdown(scheduler_.now(), times), aim(node);
+      engines_[node]->model.setSlowdown(scheduler_.now(), times), scheduleCompletion(node);
   }
 
-  // --- clients
-  void ask() {
-    for (; at_ < order_.size() && source_.commands[order_[at_]].arrivedAt <= now(); ++at_)
-      ask(order_[at_]);
-    if (at_ < order_.size())
-      next_->set(began_ + source_.commands[order_[at_]].arrivedAt);
+  // --- Clients
+  void submitDue() {
+    for (; nextArrival_ < arrivalOrder_.size() &&
+           virtualRun_.commands[arrivalOrder_[nextArrival_]].arrivedAt <= now();
+         ++nextArrival_)
+      submit(arrivalOrder_[nextArrival_]);
+    if (nextArrival_ < arrivalOrder_.size())
+      arrivalTimer_->set(startTime_ + virtualRun_.commands[arrivalOrder_[nextArrival_]].arrivedAt);
   }
-  void ask(uint64_t command) {
-    CommandRecord& asked = record_.commands[command] = source_.commands[command];
-    const Profile& profile = scenario_.settings.profiles[asked.profile];
-    double shift = now() - asked.arrivedAt;
-    asked.arrivedAt += shift, asked.targetAt += shift, asked.timeoutAt += shift;
-    record_.seconds[size_t(now())].offeredBenefit[asked.team] += profile.benefit;
-    mark(RunEventKind::submitted, asked.gateway, command);
-    Client& client = idleClient(asked.gateway);
+  void submit(uint64_t command) {
+    CommandRecord& record = record_.commands[command] = virtualRun_.commands[command];
+    const Profile& profile = scenario_.settings.profiles[record.profile];
+    double shift = now() - record.arrivedAt;
+    record.arrivedAt += shift;
+    record.targetAt += shift;
+    record.timeoutAt += shift;
+    record_.seconds[size_t(now())].offeredBenefit[record.team] += profile.benefit;
+    recordEvent(RunEventKind::submitted, record.gateway, command);
+    Client& client = idleClient(record.gateway);
     client.command = command;
-    std::string body = "SELECT a FROM t_" + std::to_string(asked.tableGroup) + ".x";
+    std::string body = "SELECT a FROM t_" + std::to_string(record.tableGroup) + ".x";
     char head[512];
     int size = std::snprintf(
         head, sizeof head,
         "POST /do/%s HTTP/1.1\r\nHost: lab\r\nReq-Id: %016llx\r\nReq-Wait-Ms: %.0f\r\nReq-Owner: %s\r\n"
         "Req-Cost: %.3f\r\nContent-Length: %zu\r\n\r\n",
         profile.name.c_str(), static_cast<unsigned long long>(command), profile.clientTimeout * 1e3,
-        scenario_.teams[asked.team].name.c_str(),
-        asked.work / scenario_.teams[asked.team].workPerEstimate * 1e3, body.size());
-    client.peer.say(std::string(head, size_t(size)) + body);
+        scenario_.teams[record.team].name.c_str(),
+        record.work / scenario_.teams[record.team].workPerEstimate * 1e3, body.size());
+    client.peer.send(std::string(head, size_t(size)) + body);
   }
-  Client& idleClient(uint32_t gate) {
-    auto& idle = idle_[gate];
+  Client& idleClient(uint32_t gateway) {
+    auto& idle = idleClients_[gateway];
     while (!idle.empty()) {
       Client* client = idle.back();
       idle.pop_back();
@@ -412,13 +437,13 @@
         return *client;
     }
     Client& client = *clients_.emplace_back(std::make_unique<Client>(scheduler_));
-    client.gate = gate;
-    client.peer.heard = [this, &client](std::string& bytes) { answer(client, bytes); };
-    client.peer.stream.connect(addressOf(3, gate));
+    client.gateway = gateway;
+    client.peer.received = [this, &client](std::string& bytes) { receiveResponse(client, bytes); };
+    client.peer.stream.connect(addressOf(3, gateway));
     client.peer.start();
     return client;
   }
-  void answer(Client& client, std::string& bytes) {
+  void receiveResponse(Client& client, std::string& bytes) {
     auto status = takeResponseStatus(bytes);
     if (!status)
       return;
@@ -426,43 +451,43 @@
       return;
     uint64_t command = *client.command;
     client.command.reset();
-    const CommandRecord& asked = record_.commands[command];
+    const CommandRecord& record = record_.commands[command];
     RunEventKind how = *status == "200"                       ? RunEventKind::answered
                        : *status == "503" || *status == "429" ? RunEventKind::shed
                                                               : RunEventKind::failed;
-    mark(how, client.gate, command);
-    const Profile& profile = scenario_.settings.profiles[asked.profile];
+    recordEvent(how, client.gateway, command);
+    const Profile& profile = scenario_.settings.profiles[record.profile];
     auto& second = record_.seconds[std::min(size_t(now()), record_.seconds.size() - 1)];
     if (how == RunEventKind::answered)
-      second.earnedBenefit[asked.team] +=
-          (now() <= asked.targetAt ? 1 : profile.lateBenefitShare) * profile.benefit;
-    idle_[client.gate].push_back(&client);
+      second.earnedBenefit[record.team] +=
+          (now() <= record.targetAt ? 1 : profile.lateBenefitShare) * profile.benefit;
+    idleClients_[client.gateway].push_back(&client);
   }
 
   const Scenario& scenario_;
-  const RunRecord& source_;
+  const RunRecord& virtualRun_;
   Variant variant_;
   std::string program_, folder_;
   Clock clock_;
   Scheduler scheduler_;
-  double began_ = 0;
+  double startTime_ = 0;
   RunRecord record_;
   std::vector<pid_t> processes_;
-  std::vector<uint64_t> order_;
-  size_t at_ = 0;
-  std::unique_ptr<Timer> next_, beat_;
-  std::list<std::unique_ptr<Peer>> followers_, links_;
-  std::vector<std::unique_ptr<Machine>> machines_;
-  std::unique_ptr<Listening> changeLog_;
+  std::vector<uint64_t> arrivalOrder_;
+  size_t nextArrival_ = 0;
+  std::unique_ptr<Timer> arrivalTimer_, heartbeatTimer_;
+  std::list<std::unique_ptr<Peer>> followers_, dispatcherConnections_;
+  std::vector<std::unique_ptr<StandInEngine>> engines_;
+  std::unique_ptr<Listener> changeLog_;
   std::list<std::unique_ptr<Client>> clients_;
-  std::unordered_map<uint32_t, std::vector<Client*>> idle_;
+  std::unordered_map<uint32_t, std::vector<Client*>> idleClients_;
 };
 
 }  // namespace
 
 RunRecord runOnSockets(const Scenario& scenario, const RunRecord& virtualRun, const Variant& variant,
                        const std::string& program) {
-  return Day(scenario, virtualRun, variant, program).run();
+  return SocketRun(scenario, virtualRun, variant, program).run();
 }
 
 }  // namespace elmcleat::lab
