--- a/src/control/control_thread.cpp
+++ b/src/control/control_thread.cpp
@@ -177,8 +177,8 @@
         return HUGE_VAL;
       exchangeLeases(state, now);
       state.transport.send();
-      // While messages wait for an acknowledgment, poll for it: traffic reads snapshots every few
-      // milliseconds.
+      // While messages wait for an acknowledgment, poll for it: the traffic thread reads a snapshot
+      // every 20 ms (kQuotaRefreshSeconds in main.cpp).
       return state.unacknowledged.empty() ? state.leases->nextWakeUp() : now + kAckPollInterval;
     });
     state.scheduler.run();
--- a/src/members/membership.h
+++ b/src/members/membership.h
@@ -3,7 +3,7 @@
 // Membership owns the status of every member, the failure detector, and the messages to be sent. It is a
 // deterministic state machine: it receives the time and the messages, and returns the messages to send and
 // the time of its next wake-up. All random choices come from the seed; it reads no clock and owns no socket.
-// Times are seconds of one clock that goes on while the process is stopped.
+// Times are seconds of one clock that advances while the process is stopped.
 //
 // Failure detection: in each probe interval one member, in a shuffled round, is pinged. If it does not answer
 // in time, a few other members are asked to ping it (ping-req). If none of these pings is answered, the
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -932,7 +932,8 @@
 
   // --- Outlier detection
 
-  // Ejects an engine, or prolongs its ejection after a failed trial. `figure` and `reference` go to the log.
+  // Ejects an engine, or prolongs its ejection after a failed trial. Only the former is logged, with
+  // `reason`, `figure` and `reference`.
   void eject(TrackedEngine& engine, const char* reason, double figure, double reference) {
     if (!engine.ejected) {
       --engineCount;
@@ -967,7 +968,8 @@
   }
 
   // Ejects an engine that fails clearly more often than the others do at the same time. Overdue sends count
-  // as failures, those of one table group that may all wait for the same bulk load as one.
+  // as failures. Those that may wait for a bulk load count once per table group, and the first group not at
+  // all: a single bulk load may explain it.
   void detectOutlier(TrackedEngine& engine) {
     if (engine.ejected)
       return;
@@ -1087,7 +1089,7 @@
       log("overload: %.1f s of work held, room for %.1f", backlog, room);
     overloaded = true;
     overloadedUntil = now + kOverloadHold;
-    candidates.pop_back();
+    candidates.pop_back();  // the best command is kept: alone it would wait only for room at an engine
     for (auto& command : candidates) {
       // A command within its guarantee gets resources back from those beyond theirs, so the backlog may take
       // up the whole slack.
--- a/src/runtime/clock.h
+++ b/src/runtime/clock.h
@@ -1,4 +1,5 @@
-// The process's clock: monotonic seconds since its creation, with conversion to and from Unix time.
+// The process's clock: monotonic seconds since its creation, with conversion to and from Unix time. On Linux
+// it advances while the process is stopped (SIGSTOP), but not while the machine is suspended.
 #pragma once
 #include <chrono>
 #include <cstdint>
--- a/src/runtime/close_reason.h
+++ b/src/runtime/close_reason.h
@@ -12,11 +12,13 @@
   reset,             // reset by the peer or broken by the network
   malformed,         // the peer sent something that can't be parsed
   bufferFull,        // the input or the output exceeded the bound of its buffer
-  idle,              // closed by us with no exchange open on it
+  idle,              // closed by us: no exchange open, or the client did not take its response in time
   unresponsive,      // closed by us: nothing was received for too long
   incomplete,        // closed by us: a message was received in part, and its rest did not follow
   replaced,          // closed by us: the peer drains, was removed, or was replaced by another
-  timedOut,          // of an exchange only: its time limit expired
+  // Of an exchange: its time limit expired, or it was cancelled or withdrawn. Of a connection: closed by us
+  // because its only exchange was abandoned or took too long.
+  timedOut,
 };
 
 // The name as written to the log.
--- a/src/serve/connection_quota.h
+++ b/src/serve/connection_quota.h
@@ -1,7 +1,8 @@
-// The quota of connections to engines, shared by all engines: a third of the descriptors, as many as clients
-// may hold. Each connection holds a slot. When no slot is free, the connection that has been idle for
-// longest, to whichever engine, is closed to free one; when none is idle, the engine that needs a slot waits
-// until a connection ends or becomes idle. Engines wait in order of request.
+// The quota of connections to engines, shared by all engines: a third of the descriptors. Client connections
+// may take almost all of the rest (maxClientConnections() in serve/listener.cpp). Each connection holds a
+// slot. When no slot is free, the connection that has been idle for longest, to whichever engine, is closed
+// to free one; when none is idle, the engine that needs a slot waits until a connection ends or becomes idle.
+// Engines wait in order of request.
 //
 // Guards against lists with more engines than descriptors, where one idle connection for each engine would
 // use them all up. The cost is a handshake whenever sends go round more engines than there are slots.
--- a/src/serve/discovery.cpp
+++ b/src/serve/discovery.cpp
@@ -200,7 +200,7 @@
       entry->second->retire();
     entry = entry->second->isUnused() ? engines_.erase(entry) : std::next(entry);
   }
-  // Clients hold at most a third of all descriptors; engines get as many, and the last third is a reserve.
+  // Engines share a third of the descriptors (ConnectionQuota), which the listener keeps free of clients.
   connectionsPerEngine_ =
       std::max<size_t>(1, config_.maxDescriptors / 3 / std::max<size_t>(1, engines_.size()));
   dispatcher_.updateEngines(isFullList ? EngineListKind::full : EngineListKind::delta, std::move(rows));
--- a/src/shared/lease_manager.h
+++ b/src/shared/lease_manager.h
@@ -1,7 +1,7 @@
 // LeaseManager: divides fleet-wide quotas among the members so that the parts in use never add up to more
 // than the quota, whatever messages are lost, duplicated or delayed and whatever members are partitioned,
 // stopped or restarted; without consensus. No I/O: callers pass received messages and the time of a clock
-// that advances while the process is suspended, and send the messages returned. Randomness is seeded.
+// that advances while the process is stopped, and send the messages returned. Randomness is seeded.
 //
 // Each member owns an equal part. A small reserve of it is never lent; the rest moves by leases (escrow,
 // O'Neil 1986; bounded counters, Balegas 2015). Why the sum holds:
@@ -13,7 +13,9 @@
 //     overlap without adding up, and each expires at the borrower before it does at the lender.
 //   - A restarted member does not know what its earlier instance lent: until the longest lease has expired it
 //     uses its reserve only.
-//   - Users of a quota call available(now) at the time of use: after a suspension their leases have expired.
+//   - Users of a quota call available(now) at the time of use: after a long stop of the process their leases
+//     have expired. A suspended machine is not covered, as the process's clock (runtime/clock.h) does not
+//     advance meanwhile.
 // Only rates (work per second) can be leased. Resources in use at the same time could not be taken back from
 // an engine when a lease expires; they are divided and never lent.
 #pragma once
