--- a/src/lab/sockets.cpp
+++ b/src/lab/sockets.cpp
@@ -290,9 +290,9 @@
     sendHeartbeat();
   }
   void sendHeartbeat() {
-    static const std::string frame("\0\0\0\x09\0\0\0\0\0\0\0\x01\0", 13);
+    static const std::string kFrame("\0\0\0\x09\0\0\0\0\0\0\0\x01\0", 13);
     for (auto& peer : followers_)
-      peer->send(frame);
+      peer->send(kFrame);
     if (!heartbeatTimer_)
       heartbeatTimer_ = std::make_unique<Timer>(scheduler_, [this] { sendHeartbeat(); });
     heartbeatTimer_->set(scheduler_.now() + 1);
