--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -5,8 +5,8 @@
 // Commands wait in hierarchical deficit round-robin queues (tenant, then profile) with FIFO leaves; a turn is
 // charged by work. The next command starts on the least-loaded engine. Among engines of about equal load,
 // weighted rendezvous hashing sends the commands of one table group to the same one. An engine under pressure
-// admits commands up to the mark, a number of threads a core, and above it at random, with a probability that
-// falls to 0 at twice the mark.
+// admits commands up to the mark, a number of threads per core, and above it at random, with a probability
+// that falls to 0 at twice the mark.
 //
 // Six mechanisms support this:
 //   1. Outlier detection: engines that fail, or don't answer while others do, are ejected. They return after
@@ -54,12 +54,12 @@
 constexpr double kListRetryMax = 1.0;      // seconds
 
 // --- Queues: deficit round-robin
-constexpr double kQuantum = 0.05;         // core-seconds a round, for a weight of 1
+constexpr double kQuantum = 0.05;         // core-seconds per round, for a weight of 1
 constexpr double kMaxCredit = 40;         // quanta that a queue may save
 constexpr uint64_t kBulkLoadQueues = 64;  // queues for bulk loads of a tenant, by table group
 
 // --- Admission by the mark
-constexpr double kMark = 2;                 // threads a core
+constexpr double kMark = 2;                 // threads per core: admission limit of an engine under pressure
 constexpr double kSparseReserve = 0.3;      // share of mark and memory left free where sends are sparse
 constexpr double kIdleGatewayMaxUse = 1.8;  // multiple of the mark, for a gateway without a send
 constexpr double kBackoffMin = 0.020;  // seconds that a command of usual work waits after it wasn't admitted
@@ -73,19 +73,19 @@
 constexpr double kBusyDiskUtilisation = 0.97;  // share of the disk throughput
 constexpr double kBusyQueueLength = 0.5;       // commands queued at the engine
 constexpr double kIdleReportLifetime = 0.5;    // seconds for which a report of low utilisation counts
-constexpr double kRecentAnswers = 20;          // answers that make up the fleet's latency ratio
-constexpr double kPriorCommands = 3;    // usual commands: weight of the fleet's figure beside measured ones
+constexpr double kRecentAnswers = 20;          // answers that make up the latency ratio over all engines
+constexpr double kPriorCommands = 3;    // usual commands: weight of the overall figure beside measured ones
 constexpr double kPressureRatio = 1.6;  // latency over idle latency
 constexpr double kSparsePressureReduction = 0.3;  // off kPressureRatio where sends are sparse
 constexpr double kSeverePressureRatio = 2.4;      // latency over idle latency
 constexpr double kMaxLatencyRatio = 4;            // cap: a slow answer may be due to a bad query plan
 constexpr double kPressureHold = 1;               // seconds
-constexpr double kMarkDecrease = 0.8;             // factor a sweep
-constexpr double kMarkIncrease = 0.25;            // share a sweep, if all recent answers are new
+constexpr double kMarkDecrease = 0.8;             // factor per sweep
+constexpr double kMarkIncrease = 0.25;            // share per sweep, if all recent answers are new
 constexpr double kMarkRelease = 6;                // multiple of the mark above which pressure ends
 constexpr double kSevereMarkMin = 0.75;           // multiple of the mark, under severe pressure
 
-// --- Choice of an engine; loads are in threads a core
+// --- Choice of an engine; loads are in threads per core
 constexpr double kLoadBand = 0.5;     // above the least load: engines within it count as equal
 constexpr double kCrossZoneLoad = 1;  // added for an engine of another zone, where that is charged
 // Share of the engines that bulk loads of one table group prefer; the commands that yield to them prefer the
@@ -100,7 +100,7 @@
 
 // --- Many gateways
 // Sends are sparse where an engine gets fewer than kDenseSends from this gateway: too few to judge its state.
-constexpr double kDenseSends = 2;           // sends a second
+constexpr double kDenseSends = 2;           // sends per second
 constexpr double kMinTrafficShare = 0.125;  // least share of all traffic that a gateway assumes for itself
 constexpr double kReportDecayTime = 3;      // seconds until a report's weight is 1/e; also the probe interval
 constexpr double kPreferredWindow = 2;      // seconds: as many engines are preferred as commands arrive in it
@@ -108,8 +108,8 @@
 
 // --- Estimates
 constexpr double kEwmaWeight = 0.02;          // weight of a new value
-constexpr double kIdleRatioDecrease = 0.97;   // factor an answer: the idle latency tracks a low quantile
-constexpr double kIdleRatioIncrease = 1.005;  // factor an answer
+constexpr double kIdleRatioDecrease = 0.97;   // factor per answer: the idle latency tracks a low quantile
+constexpr double kIdleRatioIncrease = 1.005;  // factor per answer
 
 // --- Memory
 constexpr double kMaxMemoryUse = 0.85;       // share of an engine's memory
@@ -118,7 +118,7 @@
 
 // --- Cold engines
 constexpr double kColdBudgetShare = 0.4;   // share of the budget that is surely safe to use, without slots
-constexpr double kSlottedShare = 0.08;     // share of the fleet below which a gateway uses slots
+constexpr double kSlottedShare = 0.08;     // share of one gateway among all, below which it uses slots
 constexpr double kSlotsPerWindow = 2;      // slots in a coldOverloadWindow
 constexpr double kSlotBudgetShare = 0.25;  // of the budget: a window overlaps 3 slots, slow sends reach a 4th
 constexpr int kSlotHolders = 2;            // gateways that share a slot
@@ -134,8 +134,8 @@
 constexpr double kFailureOddsRatio = 2;   // odds of failure over those at the other engines
 constexpr double kMinOverdueTime = 0.5;   // seconds, on top of kTimeoutRatio times the expected latency
 constexpr double kMaxEvidence = 3;        // failures to eject an engine, and answered trials to return it
-constexpr double kMinOverloadPause = 1;  // seconds without sends after a refusal; doubled at each further one
-constexpr double kMaxOverloadPause = 8;  // seconds
+constexpr double kMinRefusalPause = 1;  // seconds without sends after a refusal; doubled at each further one
+constexpr double kMaxRefusalPause = 8;  // seconds
 
 // --- Retries and time-outs
 constexpr double kMaxRetries = 2;    // sends after a command's first one
@@ -257,17 +257,17 @@
   double markMultiple = 1;                                 // of kMark
   double pressureUntil = -1;                               // seconds
   double idleUntil = -1;                                   // seconds: reported low utilisation until then
-  double overloadedUntil = -1;                             // seconds: refused a send, gets none until then
-  double otherThreads = 0;                   // threads of other gateways' commands, by its last report
-  double reportedAt = -HUGE_VAL;             // seconds
-  int64_t lastSlot = -1;                     // last slot of its cold time that was ours
-  double slotWork = 0;                       // core-seconds that we sent in that slot
-  double preferenceRank = 0;                 // by a hash of this gateway and the engine
-  bool preferred = true;                     // in this gateway's subset
-  double ejectedUntil = 0;                   // seconds; trials from then on
-  double ejectionTime = kMinEjection;        // seconds
-  double overloadPause = kMinOverloadPause;  // seconds
-  double inServiceSince = 0;                 // seconds: end of the last ejection
+  double refusingUntil = -1;                               // seconds: refused a send, gets none until then
+  double otherThreads = 0;                 // threads of other gateways' commands, by its last report
+  double reportedAt = -HUGE_VAL;           // seconds
+  int64_t lastSlot = -1;                   // last slot of its cold time that was ours
+  double slotWork = 0;                     // core-seconds that we sent in that slot
+  double preferenceWeight = 0;             // by a hash of this gateway and the engine
+  bool preferred = true;                   // in this gateway's subset
+  double ejectedUntil = 0;                 // seconds; trials from then on
+  double ejectionTime = kMinEjection;      // seconds
+  double refusalPause = kMinRefusalPause;  // seconds without sends after the next refusal
+  double inServiceSince = 0;               // seconds: end of the last ejection
   int trialsAnswered = 0;
   int overdue = 0;  // sends that are overdue now
   bool underPressure = false;
@@ -368,8 +368,8 @@
   bool isCold(const TrackedEngine& engine) const {
     return engine.startedAt && now < *engine.startedAt + settings.coldDuration;
   }
-  // Threads a core at an engine: our own over our share of the traffic, as if the other gateways ran there in
-  // proportion, plus how far its report differs from what is usual for the others.
+  // Threads per core at an engine: our own over our share of the traffic, as if the other gateways ran there
+  // in proportion, plus how far its report differs from what is usual for the others.
   double estimatedLoad(const TrackedEngine& engine) const {
     return engine.threadsInUse / capacity(engine) / std::max(trafficShare(), kMinTrafficShare) +
            otherLoad(engine) - usualOtherLoad();
@@ -646,7 +646,7 @@
           engine.cores = std::max(known.cores, 1.0);
           engine.memoryMb = known.memoryMb;
         }
-      engine.preferenceRank = std::log(rendezvousHash(record.id, hashKey)) / engine.cores;
+      engine.preferenceWeight = std::log(rendezvousHash(record.id, hashKey)) / engine.cores;
       // Rule 3: nothing new to a draining engine, from now on and whatever its grace period.
       engine.inService = record.state == EngineState::inService;
       engine.removed = record.state == EngineState::removed;
@@ -672,7 +672,7 @@
         std::max(kMinPreferred, std::round(kPreferredWindow * arrivals.upperBound(now) / trafficSpan())),
         available);
     std::ranges::nth_element(candidates, candidates.begin() + int(preferredCount), std::greater{},
-                             &TrackedEngine::preferenceRank);
+                             &TrackedEngine::preferenceWeight);
     preferredCapacity = 0;
     for (size_t i = 0; i < candidates.size(); ++i)
       if (candidates[i]->preferred = double(i) < preferredCount; candidates[i]->preferred)
@@ -684,16 +684,16 @@
       applyReport(*found->second, report);
   }
 
-  // Threads a core that the other gateways are assumed to run at an engine: as many as this gateway in
+  // Threads per core that the other gateways are assumed to run at an engine: as many as this gateway in
   // proportion. Where sends are sparse our own say little, and load reports count instead.
   double usualOtherLoad() const {
     double byOwnSends = std::max(threadsInUse - slottedThreads, 0.0) /
                         std::max(availableCores - slottedCores, 1.0) * (1 / gatewayShare() - 1);
     return (byOwnSends + sparsity * weightedOtherLoad) / (1 + sparsity * totalReportWeight);
   }
-  // Threads a core of the other gateways at an engine: the usual load, corrected by the engine's last report,
-  // whose weight decays. The usual load is a mean over all engines, as a gateway's part of the mark may be
-  // less than one thread an engine.
+  // Threads per core of the other gateways at an engine: the usual load, corrected by the engine's last
+  // report, whose weight decays. The usual load is a mean over all engines, as a gateway's part of the mark
+  // may be less than one thread per engine.
   double otherLoad(const TrackedEngine& engine) const {
     double usual = usesSlots(engine) ? 0 : usualOtherLoad();
     double weight = reportWeight(engine);
@@ -753,21 +753,24 @@
     double slotLength = settings.coldOverloadWindow / kSlotsPerWindow;
     if (!usesSlots(engine))
       return kColdBudgetShare * budget * gatewayShare() - engine.coldWork.upperBound(now);
-    // Without an ordinal only the rank among the engine's users is known: room for 2 x (sqrt(n) + 1) commands
-    // is added, where the budget pays for n.
+    // Where the gateway is told no ordinal, as with a bounded subset of engines, it knows only its rank among
+    // the engine's users. Rule 4 allows all gateways together n + 2 sqrt(n) + 2 commands of usual work, where
+    // the budget pays for n. Here the slots share out that bound in place of n, since half of n would leave a
+    // cold engine under half used.
+    double slottedBudget = budget;
     if (settings.ordinal < 0 && usualWork > 0)
-      budget += 2 * (std::sqrt(budget / usualWork) + 1) * usualWork;
+      slottedBudget += 2 * (std::sqrt(budget / usualWork) + 1) * usualWork;
     int64_t slot = int64_t(std::floor((now - *engine.startedAt) / slotLength));
-    int64_t held = 0;
+    int64_t positionsHeld = 0;  // of the kSlotHolders that share the slot
     for (int i = 0; i < kSlotHolders; ++i)
-      held += int(rendezvousHash(engine.id, ~uint64_t(slot * kSlotHolders + i)) * settings.gatewayCount) ==
-              engine.gatewayRank;
+      positionsHeld += int(rendezvousHash(engine.id, ~uint64_t(slot * kSlotHolders + i)) *
+                           settings.gatewayCount) == engine.gatewayRank;
     // A slot that began before this process started may have been used by its predecessor.
-    if (held == 0 || *engine.startedAt + double(slot) * slotLength < startTime)
+    if (positionsHeld == 0 || *engine.startedAt + double(slot) * slotLength < startTime)
       return 0;
     if (std::exchange(engine.lastSlot, slot) != slot)
       engine.slotWork = 0;
-    return kSlotBudgetShare * budget / kSlotHolders - engine.slotWork;
+    return kSlotBudgetShare * slottedBudget / kSlotHolders - engine.slotWork;
   }
 
   // Whether a command may be sent to an engine now, apart from the mark.
@@ -787,7 +790,7 @@
       if (profile.deduplicationScope == DeduplicationScope::cell && engine.cell != command.firstRunCell)
         return false;
     }
-    if (now < engine.overloadedUntil)
+    if (now < engine.refusingUntil)
       return false;
     // An ejected engine gets one trial at a time, a short command that may be sent again.
     if (engine.ejected) {
@@ -813,7 +816,7 @@
   // The engine for a command, or null. Engines with room come before those above the mark; among them the
   // first by weighted rendezvous hashing of the table group whose load is within a band above the least.
   TrackedEngine* selectEngine(CommandState& command) {
-    // Engine, load, rendezvous rank; [1]: with room.
+    // Engine, load, rendezvous weight; [1]: with room.
     std::vector<std::tuple<TrackedEngine*, double, double>> candidates[2];
     bool separate = avoidsBulkLoads && (command.profile().bulkLoad || command.profile().yieldsToBulkLoads);
     for (auto& [id, engine] : engines) {
@@ -821,11 +824,12 @@
         continue;
       double extraLoad = settings.crossZoneCost > 0 && engine->zone != settings.zone ? kCrossZoneLoad : 0;
       double hash = rendezvousHash(id, command.tableGroup);
-      double rank = std::log(hash) / engine->cores;
+      double rendezvousWeight = std::log(hash) / engine->cores;
       // Bulk loads and the commands that yield to them keep to different engines.
       if (separate && (hash < kBulkLoadShare) != command.profile().bulkLoad)
         extraLoad += kWrongSideLoad;
-      // A trial that is due is taken.
+      // A trial that is due is taken before all else, except where sends are so sparse that a failed trial is
+      // costly.
       if (engine->ejected && evidenceNeeded() >= kMaxEvidence)
         extraLoad -= kDecisiveLoad;
       if (engine->preferred && engine->sendCredit[&command.statistics - statistics.data()] < 0)
@@ -838,18 +842,18 @@
       if (command.lastEngineId == id)
         extraLoad += kDecisiveLoad;
       bool hasRoom = !engine->underPressure || markUse(*engine, command) < 1 || now < engine->idleUntil;
-      candidates[hasRoom].push_back({engine.get(), estimatedLoad(*engine) + extraLoad, rank});
+      candidates[hasRoom].push_back({engine.get(), estimatedLoad(*engine) + extraLoad, rendezvousWeight});
     }
     auto& open = candidates[candidates[1].empty() ? 0 : 1];
     double leastLoad = HUGE_VAL;
-    double bestRank = -HUGE_VAL;
-    for (auto& [engine, load, rank] : open)
+    double bestWeight = -HUGE_VAL;
+    for (auto& [engine, load, rendezvousWeight] : open)
       leastLoad = std::min(leastLoad, load);
     TrackedEngine* selected = nullptr;
-    for (auto& [engine, load, rank] : open)
-      if (load <= leastLoad + kLoadBand && rank > bestRank) {
+    for (auto& [engine, load, rendezvousWeight] : open)
+      if (load <= leastLoad + kLoadBand && rendezvousWeight > bestWeight) {
         selected = engine;
-        bestRank = rank;
+        bestWeight = rendezvousWeight;
       }
     return selected;
   }
@@ -961,7 +965,8 @@
   }
 
   // Failures that eject an engine, and answered trials that return it to service: fewer where few sends go to
-  // one engine.
+  // one engine. One per kMaxEvidence sends that an engine gets on average within kFailureWindow, from 1 to
+  // kMaxEvidence.
   double evidenceNeeded() const {
     return std::clamp((totalAnswers + totalFailures) / std::max(1.0, engineCount) / kMaxEvidence, 1.0,
                       kMaxEvidence);
@@ -1023,11 +1028,11 @@
       latency += elapsed;
       idleLatency += expected;
       if (!engine.ejected && elapsed >= kMaxLatencyRatio * expected) {
-        fleetLatency += elapsed;
-        fleetIdleLatency += expected;
+        totalLatency += elapsed;
+        totalIdleLatency += expected;
       }
     }
-    // A few answers of one engine say little, so the fleet's ratio is mixed in.
+    // A few answers of one engine say little, so the ratio over all engines is mixed in.
     double prior = kPriorCommands * usualRunTime;
     engine.latencyRatio =
         idleLatency + prior > 0 ? (latency + prior * latencyRatio) / (idleLatency + prior) : 1;
@@ -1146,8 +1151,8 @@
       totalReportWeight += weight;
       weightedOtherLoad += weight * engine->otherThreads / capacity(*engine);
     }
-    // Marks, and the fleet's failures and latency ratio.
-    double worstRatio = fleetLatency = fleetIdleLatency = totalFailures = totalAnswers = 0;
+    // Marks, and the failures and the latency ratio over all engines.
+    double worstRatio = totalLatency = totalIdleLatency = totalFailures = totalAnswers = 0;
     for (auto& [id, engine] : engines) {
       updateMark(*engine);
       anyPressure |= engine->underPressure && engine->inService;
@@ -1156,10 +1161,10 @@
       totalAnswers += engine->answers.upperBound(now);
     }
     for (auto& [ratio, idleLatency] : recentAnswers) {
-      fleetLatency += ratio * idleLatency;
-      fleetIdleLatency += idleLatency;
+      totalLatency += ratio * idleLatency;
+      totalIdleLatency += idleLatency;
     }
-    latencyRatio = fleetIdleLatency > 0 ? fleetLatency / fleetIdleLatency : 1;
+    latencyRatio = totalIdleLatency > 0 ? totalLatency / totalIdleLatency : 1;
     // This gateway's own traffic.
     if (totalQuota > 0 && usualWork > 0)
       quotaShare = completedWork.upperBound(now) / trafficSpan() / totalQuota / usualWork;
@@ -1168,7 +1173,8 @@
     sparsity = std::clamp(
         1 - (totalAnswers + totalFailures) / kFailureWindow / std::max(1.0, engineCount) / kDenseSends, 0.0,
         1.0);
-    // Where sends are too sparse to judge the engines, they are probed in turn: at most one probe a command.
+    // Where sends are too sparse to judge the engines, they are probed in turn: at most one probe per
+    // command.
     if (settings.probingSupported && sparsity > 0)
       probesDue += kSweepInterval *
                    std::min(preferredCount / kReportDecayTime, arrivals.upperBound(now) / trafficSpan());
@@ -1266,7 +1272,7 @@
   bool underPressure = false;  // some engine in service is
   bool listReceived = false;
   bool avoidsBulkLoads = false;               // some profile yields to bulk loads
-  std::vector<ProfileStatistics> statistics;  // one a profile, in the order of the settings
+  std::vector<ProfileStatistics> statistics;  // one per profile, in the order of the settings
   std::map<uint32_t, std::unique_ptr<TrackedEngine>> engines;
   std::map<uint64_t, KeyQueue> keyQueues;
   DeficitRoundRobinQueue rootQueue;
@@ -1277,7 +1283,7 @@
   SlidingWindowSum completedWork{kTrafficWindow};  // core-seconds of answered commands
   SlidingWindowSum retries{1};                     // sends, in the window of the retry budget
   SlidingWindowSum arrivalsInBudgetWindow{1};      // commands, in the window of the retry budget
-  double totalQuota = 0;                           // commands a second of all tenants and gateways
+  double totalQuota = 0;                           // commands per second of all tenants and gateways
   double quotaShare = 0;            // the work that this gateway completes, over that of all quotas
   double usualRunTime = 0;          // seconds: mean over all commands
   double usualWork = 0;             // core-seconds: mean over all commands
@@ -1290,16 +1296,16 @@
   double usualMemoryInUse = 0;      // MB: mean of memoryInUse
   double totalFailures = 0;         // sends of all engines in kFailureWindow, overdue ones included
   double totalAnswers = 0;          // sends of all engines in kFailureWindow
-  double fleetLatency = 0;          // seconds, of the recent answers and of overdue sends
-  double fleetIdleLatency = 0;      // seconds: the idle latencies of the same sends
+  double totalLatency = 0;          // seconds, of the recent answers and of overdue sends
+  double totalIdleLatency = 0;      // seconds: the idle latencies of the same sends
   double usualMemoryPerThread = 0;  // MB: mean weighted by work
   double totalReportWeight = 0;     // sum of reportWeight() over the engines
-  double weightedOtherLoad = 0;  // threads a core of other gateways by load reports, summed by reportWeight()
-  double preferredCount = 0;     // engines in this gateway's subset
-  double preferredCapacity = 0;  // cores of these
-  double slottedCores = 0;       // of the cold engines that use slots
-  double slottedThreads = 0;     // by our sends at these
-  uint64_t hashKey;              // of this gateway, for its subset of engines
+  double weightedOtherLoad = 0;     // otherThreads per core of capacity, summed by reportWeight()
+  double preferredCount = 0;        // engines in this gateway's subset
+  double preferredCapacity = 0;     // cores of these
+  double slottedCores = 0;          // of the cold engines that use slots
+  double slottedThreads = 0;        // by our sends at these
+  uint64_t hashKey;                 // of this gateway, for its subset of engines
   double probesDue = 0;
   uint32_t lastProbed = 0;    // engine
   double newAnswerShare = 0;  // part of recentAnswers that a sweep interval replaces
@@ -1360,7 +1366,7 @@
   bool answered = outcome == Outcome::answered;
   if (answered) {
     lastEngine.answers.add(policy.now, 1);
-    lastEngine.overloadPause = kMinOverloadPause;
+    lastEngine.refusalPause = kMinRefusalPause;
   }
   bool blamesEngine = outcome == Outcome::timedOut && !profile().yieldsToBulkLoads && !lowPriority;
   if (outcome == Outcome::error || blamesEngine)
@@ -1370,9 +1376,8 @@
   // Exponential back-off with jitter: the more gateways would return at once, the longer it has to be.
   if (outcome == Outcome::overloaded) {
     policy.notePressure(lastEngine);
-    lastEngine.overloadedUntil =
-        policy.now + lastEngine.overloadPause * policy.random.uniformBetween(0.5, 1.5);
-    lastEngine.overloadPause = std::min(2 * lastEngine.overloadPause, kMaxOverloadPause);
+    lastEngine.refusingUntil = policy.now + lastEngine.refusalPause * policy.random.uniformBetween(0.5, 1.5);
+    lastEngine.refusalPause = std::min(2 * lastEngine.refusalPause, kMaxRefusalPause);
   }
   if (wasTrial && lastEngine.ejected && answered && ++lastEngine.trialsAnswered >= policy.evidenceNeeded()) {
     policy.returnToService(lastEngine);
--- a/src/policy.h
+++ b/src/policy.h
@@ -74,7 +74,7 @@
 struct Tenant {
   std::string name;
   double share = 1;  // share of the service when all tenants have commands waiting
-  double quota = 0;  // commands a second within the share, over all gateways; 0: none
+  double quota = 0;  // commands per second within the share, over all gateways; 0: none
 };
 // A kind of engine hardware.
 struct EngineKind {
@@ -94,9 +94,9 @@
   double crossZoneCost = 0;           // above 0: engines of the gateway's own zone are preferred
   double drainGracePeriod = 0;        // seconds; not used by the module, which stops new sends at once
 
-  // Cold engines (rule 4). An engine's capacity rises linearly from coldCapacity to 1 over coldDuration. A
-  // gateway fleet that sends it more than coldOverloadFactor x coldCapacity x cores of work per second, over
-  // coldOverloadWindow, overloads it.
+  // Cold engines (rule 4). An engine's capacity rises linearly from coldCapacity to 1 over coldDuration. It is
+  // overloaded if all gateways together send it more than coldOverloadFactor x coldCapacity x cores of work
+  // per second, over coldOverloadWindow.
   double coldCapacity = 1;        // share of the cores that are usable at its start
   double coldDuration = 0;        // seconds
   double coldOverloadFactor = 1;  // multiple of the cold capacity
@@ -108,7 +108,7 @@
   // retryBudgetMinimum + retryBudgetRatio x commands submitted.
   double retryBudgetWindow = 0;   // seconds; 0: unlimited
   double retryBudgetMinimum = 0;  // sends
-  double retryBudgetRatio = 0;    // sends a command
+  double retryBudgetRatio = 0;    // sends per command
   int maxSends = 1;               // sends of one command, the first included
 
   // What the engines and the host support.
@@ -229,8 +229,8 @@
   virtual void dequeue(Command& command) = 0;
   // The command to send next, of those enqueued; null: none at this time.
   virtual Command* selectNext() = 0;
-  // The selected command was not sent: no engine had room, or it was not admitted. It waits for `wait`
-  // seconds.
+  // The selected command was not sent: no engine had room, or it was not admitted. Its queue is tried
+  // again after about `wait` seconds.
   virtual void postpone(Command& command, double wait) = 0;
   // A send of the command is out, until sendFinished().
   virtual void sendStarted(Command& command) = 0;
@@ -238,7 +238,8 @@
   virtual void sendFinished(Command& command, double billed) = 0;
   // The command has ended, and so have its sends.
   virtual void remove(Command& command) = 0;
-  // Whether the command is within its tenant's guarantee: such commands are shed last.
+  // Whether, when the command was last queued, a guarantee on its path (tenant, users, profile) covered all
+  // commands queued there: such commands are shed last.
   virtual bool isGuaranteed(Command& command) = 0;
   // A running command that should make room for one within its guarantee.
   virtual Preemption selectPreemption() = 0;
--- a/src/serve/dispatcher.h
+++ b/src/serve/dispatcher.h
@@ -37,8 +37,8 @@
 class Dispatcher final : public ActionSink {
  public:
   // With `budgetSettings`, budgets order the module's queues; without, the module decides alone.
-  // `localSettings`: the module's settings for the part of the fleet that this gateway uses, if it uses a
-  // part only; budgets are divided by the number of all gateways in any case.
+  // `localSettings`: the module's settings for the subset of engines that this gateway uses, if it uses a
+  // subset; budgets are divided by the number of all gateways in any case.
   Dispatcher(Scheduler& scheduler, const Settings& settings, uint64_t seed,
              const std::optional<budget::BudgetSettings>& budgetSettings = {},
              const std::optional<Settings>& localSettings = {});
