--- a/src/budget/budget_settings.h
+++ b/src/budget/budget_settings.h
@@ -15,6 +15,7 @@
   std::optional<double> sends;     // in flight at the same time
 };
 
+// The budget of one node of the tree.
 struct NodeSettings {
   ResourceAmounts guarantee;
   ResourceAmounts ceiling;
@@ -24,14 +25,18 @@
   double agingThreshold = 2;  // seconds in the queue after which a command is also scheduled by its age
 };
 
+// A node that the section lists.
 struct NodeEntry {
   std::string name;    // a tenant, or a node below one: TENANT/USER, TENANT/:PROFILE
   std::string parent;  // name of another entry; empty: the name's own path decides, and without one the root
   NodeSettings settings;
 };
 
+// What happens to a borrowed send while a stronger command waits: nothing, its priority at the engine is
+// lowered, or it is also cancelled if the command is replayable.
 enum class PreemptionMode { off, lowerPriority, cancel };
 
+// The section `budgets` as a whole.
 struct BudgetSettings {
   double totalCores = 0;    // capacity that guarantees must fit into; 0: not given
   std::string actorHeader;  // request header that names the users below a tenant; empty: none
@@ -46,6 +51,7 @@
   std::vector<NodeEntry> entries;
 };
 
+// A setting that is not valid.
 struct ValidationError {
   std::string key;      // path below the section
   std::string message;  // what was found and what is allowed
--- a/src/budget/budget_tree.h
+++ b/src/budget/budget_tree.h
@@ -123,7 +123,7 @@
   double virtualTime = 0;             // the least start tag among its children; never decreases
   size_t queued = 0;                  // commands queued here and below
   double queuedWork = 0;              // their work
-  double postponedUntil = -HUGE_VAL;  // of a leaf whose command found no engine or lost its draw
+  double postponedUntil = -HUGE_VAL;  // of a leaf whose command wasn't sent
   double yieldingSince = -1;          // first postponement since the last start; negative: none
   double idleSince = 0;
   DepartureRate departures;
@@ -194,7 +194,7 @@
   void enqueue(QueuedCommand& command, bool again, double now);  // `again`: goes to the front of its queue
   void dequeue(QueuedCommand& command, double now);
   QueuedCommand* selectNext(double now);  // nullptr: no command may start now
-  // The command found no engine with room, or lost its draw: its leaf is tried again later, after about
+  // The command was not sent: no engine had room, or it was not admitted. Its leaf is tried again after about
   // `wait` seconds.
   void postpone(QueuedCommand& command, double wait, double now);
   void sendStarted(QueuedCommand& command, double now);                  // charges the estimated work
@@ -264,8 +264,9 @@
   double agingCredit_ = 0;                        // work that aged commands may start
   double agingCreditLimit_ = 0;
   double borrowersYieldUntil_ = -HUGE_VAL;  // until then nodes that borrow are not selected
-  // The strongest recent postponement of a command that has waited past preemptionDelay: it justifies
-  // preemption.
+  // A command that was postponed after it had waited for preemptionDelay may preempt a borrowed send until
+  // claimUntil_. Of several such commands the strongest counts: one within its guarantee before one that
+  // borrows, then the one of higher priority.
   double claimUntil_ = -HUGE_VAL;
   double lastPreemption_ = -HUGE_VAL;
   int claimPriority_ = 0;
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -50,7 +50,7 @@
       return read<T>(key, *found);
     fail(key, "is missing");
   }
-  // A value in microseconds, converted to seconds; so is the default given in seconds.
+  // The key's value, which is in microseconds, as seconds; `defaultSeconds` where it is absent or null.
   double seconds(const char* key, double defaultSeconds = 0) const {
     return get(key, defaultSeconds * 1e6) / 1e6;
   }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -87,8 +87,8 @@
 }
 
 // Passes the quotas of shared rates from the control thread to the dispatcher, and the demand back, fifty
-// times a second. A grant of this gateway waits until this has acknowledged the snapshot
-// (ControlThread::acknowledge).
+// times a second. The control thread sends a grant only after the dispatcher has acknowledged the
+// snapshot that accounts for it (ControlThread::acknowledge).
 void refreshQuotas(ControlThread& control, Dispatcher& dispatcher, Timer& refreshTimer, const Clock& clock) {
   refreshTimer.set(clock.now() + kQuotaRefreshSeconds);
   const ControlSnapshot* snapshot = control.latestQuotas();
--- a/src/protocol/change_log.h
+++ b/src/protocol/change_log.h
@@ -4,7 +4,16 @@
 //   4 bytes  length of the rest of the frame
 //   8 bytes  sequence number
 //   1 byte   kind: 0 heartbeat (no payload), 1 full list, 2 changes to the list
-//   payload  one 27-byte record an engine
+//   payload  one 27-byte record per engine:
+//     4 bytes  id
+//     4 bytes  IPv4 address
+//     2 bytes  port
+//     1 byte   state: 0 in service, 1 draining, 2 removed
+//     1 byte   zone, as an index into the configured zones
+//     1 byte   kind, as an index into the configured kinds of engines
+//     2 bytes  cell
+//     4 bytes  weight (ignored)
+//     8 bytes  Unix time of its start in milliseconds; 0: not given
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -20,7 +29,7 @@
 struct ListedEngine {
   EngineRecord record;  // without its start time
   Address address;
-  int64_t startedAtUnixMs = 0;  // Unix time of a late start; 0: started long ago
+  int64_t startedAtUnixMs = 0;  // Unix time of its start; 0: not given, it counts as warm
 };
 
 // One event of the change log: the full list of engines, or the engines that changed.
--- a/src/protocol/engine_protocol.h
+++ b/src/protocol/engine_protocol.h
@@ -11,8 +11,19 @@
 
 namespace elmcleat {
 
-enum class ResponseKind { answered, overloaded, error, expired, status, page, healthy, unhealthy };
+// What an engine's response says.
+enum class ResponseKind {
+  answered,    // the first page of the result
+  overloaded,  // refused without running it
+  error,
+  expired,    // its time had run out when it arrived: it didn't run
+  status,     // about a running send
+  page,       // a further page of the result
+  healthy,    // answer to a probe
+  unhealthy,  // answer to a probe
+};
 
+// One response, complete with its body.
 struct EngineResponse {
   std::string id;
   ResponseKind kind = ResponseKind::answered;
--- a/src/serve/engine.h
+++ b/src/serve/engine.h
@@ -51,7 +51,7 @@
     Send(Scheduler& scheduler, std::function<void()> onDeadline, std::function<void()> onSilence)
         : deadlineTimer(scheduler, std::move(onDeadline)), silenceTimer(scheduler, std::move(onSilence)) {}
     std::shared_ptr<RequestContext> context;
-    double startedAt = 0;
+    double startedAt = 0;  // when it was assigned to the connection: its duration is counted from here
     double deadlineAt = 0;
     std::optional<uint64_t> streamPosition;  // none until the connection is established
     std::optional<Outcome> abandonedAs;      // the engine was told to drop it, but may not have read that yet
--- a/src/serve/request_context.h
+++ b/src/serve/request_context.h
@@ -23,12 +23,12 @@
   std::string statement;           // as received
   uint64_t tableGroup = 0;
   std::optional<uint64_t> orderingKey;
-  double estimatedWork = 0;      // seconds; 0: no estimate
+  double estimatedWork = 0;      // core-seconds; 0: no estimate
   double estimatedMemoryMb = 0;  // 0: no estimate
   double clientDeadline =
       0;  // when the client gives up: the time that it stated, from when the request was read
 
-  // Seconds before clientDeadline by which an attempt is abandoned, because its response would come too late.
+  // Seconds before clientDeadline by which a send is abandoned, because its response would come too late.
   // The client counts from when it sent the request, and the response has to reach it: the protocol allows 50
   // ms for network and clocks, and 10 ms are for our own turn. Clients were seen to leave up to 56 ms before
   // the deadline that they stated.
@@ -52,11 +52,11 @@
   CommandRequest request;
   Responder* responder = nullptr;    // none once the command is answered or withdrawn
   std::shared_ptr<Command> command;  // the module's handle; none until the module has the command
-  std::optional<int> priority;
-  int sends = 0;
-  double startDeadline = HUGE_VAL;  // the send in flight must not start after this
-  bool sendInFlight = false;        // a send has no outcome yet
-  bool finished = false;            // answered or withdrawn
+  std::optional<int> priority;       // 0 (lowest) to 3; none: the module has set none
+  int sends = 0;                     // not used
+  double startDeadline = HUGE_VAL;   // the send in flight must not start after this
+  bool sendInFlight = false;         // a send has no outcome yet
+  bool finished = false;             // answered or withdrawn
 
   // Whether a client still waits for the response. False from the moment at which its disconnect is seen,
   // which is before the module is informed.
--- a/src/serve/response.h
+++ b/src/serve/response.h
@@ -10,6 +10,7 @@
 
 // The one response to a command.
 struct Response {
+  // served: the rows; shed: a retry by the client does no harm; failed: the command may have run.
   enum class Kind { served, shed, failed };
   Kind kind = Kind::failed;
   std::string rows;       // JSON, with `served`
--- a/src/view/engine_subset.h
+++ b/src/view/engine_subset.h
@@ -85,7 +85,7 @@
     bool cold : 1 = false;
     bool changed : 1 = false;  // since it was last reported
   };
-  // Bounds the memory: with the reserve of vectors and rankedEngines_ it is well within 64 bytes an engine.
+  // Bounds the memory: with the reserve of vectors and rankedEngines_ it is well within 64 bytes per engine.
   static_assert(sizeof(Entry) == 32);
   using Changes = std::vector<ListedEngine>;
 
